--- a/modules/mesh/MeshClient.cpp
+++ b/modules/mesh/MeshClient.cpp
@@ -22,7 +22,7 @@
 
 constexpr Milliseconds callTimeout { 1000 };
 constexpr std::size_t maxResponseLineBytes = 4 * 1024 * 1024;
-constexpr std::size_t maxCallsUnderWay = 8;
+constexpr std::size_t maxPendingCalls = 8;
 
 } // namespace
 
@@ -64,18 +64,18 @@
     });
 }
 
-void MeshClient::call(const char* method, Json::Value parameters, std::function<void(const Reply&)> finished)
+void MeshClient::call(const char* method, Json::Value parameters, std::function<void(const Reply&)> onFinished)
 {
-    bool isFull = this->calls.size() >= maxCallsUnderWay;
+    bool isFull = this->calls.size() >= maxPendingCalls;
     bool isConnected = !isFull && (this->connection || this->connect());
     std::int64_t id = this->nextCall++;
-    // A call that cannot be sent fails on the next turn of the loop.
+    // A call that cannot be sent fails in the next iteration of the event loop.
     Deadline answerBy = Deadline::after(BootClock::now(), isConnected ? callTimeout : Milliseconds::zero());
-    this->calls.emplace(id, Call { answerBy, std::move(finished) });
+    this->calls.emplace(id, Call { answerBy, std::move(onFinished) });
     this->scheduleTimer();
     if (!isConnected)
         return;
-    // The library numbers the calls of each batch from one, so the number that tells our calls apart is a parameter.
+    // The library numbers the calls of each batch from one, so the id that matches answers to calls is a parameter.
     parameters["call"] = Json::Int64(id);
     jsonrpc::BatchCall batch;
     batch.addCall(method, parameters);
@@ -100,7 +100,8 @@
         this->connection.get(), [](bufferevent*, void* self) { static_cast<MeshClient*>(self)->read(); }, nullptr,
         [](bufferevent*, short events, void* self) {
             if (!(events & BEV_EVENT_CONNECTED))
-                static_cast<MeshClient*>(self)->fail({ MeshErrorCode::Disconnected, "the connection broke" });
+                static_cast<MeshClient*>(self)->fail(
+                    { MeshErrorCode::Disconnected, "the connection failed or was closed" });
         },
         this);
     bufferevent_setwatermark(this->connection.get(), EV_READ, 0, maxResponseLineBytes);
@@ -124,7 +125,7 @@
             return;
     }
     if (evbuffer_get_length(input) >= maxResponseLineBytes)
-        this->fail({ MeshErrorCode::Malformed, "an answer is longer than a line may be" });
+        this->fail({ MeshErrorCode::Malformed, "an answer line exceeds the maximum length" });
 }
 
 void MeshClient::handleLine(const std::string& line)
@@ -137,23 +138,23 @@
     auto found = this->calls.find(reply.value().call);
     if (found == this->calls.end())
         return;
-    auto finished = std::move(found->second.finished);
+    auto onFinished = std::move(found->second.onFinished);
     this->calls.erase(found);
     this->scheduleTimer();
-    finished(reply.value().result);
+    onFinished(reply.value().result);
 }
 
 void MeshClient::handleTimer()
 {
     Instant now = BootClock::now();
-    auto isOverdue = [now](const auto& entry) { return entry.second.answerBy.hasPassed(now); };
-    if (std::any_of(this->calls.begin(), this->calls.end(), isOverdue))
+    auto hasTimedOut = [now](const auto& entry) { return entry.second.answerBy.hasPassed(now); };
+    if (std::any_of(this->calls.begin(), this->calls.end(), hasTimedOut))
         this->fail({ MeshErrorCode::TimedOut, "no answer in time" });
     else
         this->scheduleTimer();
 }
 
-/// Ends all calls under way and closes the connection.
+/// Closes the connection and fails all pending calls.
 void MeshClient::fail(const MeshError& error)
 {
     this->connection.reset();
@@ -161,7 +162,7 @@
     std::map<std::int64_t, Call> failed = std::move(this->calls);
     this->calls.clear();
     for (auto& [id, call] : failed)
-        call.finished(Reply(error));
+        call.onFinished(Reply(error));
 }
 
 void MeshClient::scheduleTimer()
--- a/modules/mesh/MeshClient.h
+++ b/modules/mesh/MeshClient.h
@@ -20,10 +20,10 @@
 
 struct DocumentRecord;
 
-/// Calls one other daemon over one connection, which is made when needed. Every call ends in exactly one call of its
-/// callback, from the loop and never from within the call. When a call times out the connection counts as gone silent:
-/// it is closed, its other calls fail, and the next call makes a new one. Destroying the client drops the calls under
-/// way without calling back.
+/// Calls one other daemon over one connection, which is opened on demand. The callback of a call is called exactly
+/// once, from the event loop and never from within the call. When a call times out, the peer counts as unresponsive:
+/// the connection is closed, its other calls fail, and the next call opens a new one. Destroying the client drops its
+/// pending calls without calling back.
 class MeshClient {
 public:
     /// `sourceAddress` is the local address that the connection is bound to.
@@ -35,15 +35,15 @@
 
     template <typename Value> using Callback = std::function<void(Result<Value, MeshError>)>;
 
-    /// Reads the peer's state. The caller's own is not sent along: how long such a message was under way could not be
-    /// known, so its ages could not be relied on, and the peer reads it by a call of its own.
+    /// Reads the peer's state. The request does not carry the caller's own state: the peer could not tell how long it
+    /// was in transit, so the ages in it would be unreliable. The peer reads that state with a call of its own instead.
     void readState(Callback<PeerState>);
 
-    /// Fetches the peer's document if its revision is `revision` or newer.
+    /// Fetches the peer's document; the peer refuses the call if its revision is older than `revision`.
     void fetchDocument(std::uint64_t revision, Callback<DocumentRecord>);
 
     const SocketAddress& address() const { return this->peer; }
-    std::size_t callsUnderWay() const { return this->calls.size(); }
+    std::size_t pendingCallCount() const { return this->calls.size(); }
     std::uint64_t bytesReceived() const { return this->received; }
     std::uint64_t bytesSent() const { return this->sent; }
 
@@ -52,10 +52,10 @@
 
     struct Call {
         Deadline answerBy;
-        std::function<void(const Reply&)> finished;
+        std::function<void(const Reply&)> onFinished;
     };
 
-    void call(const char* method, Json::Value parameters, std::function<void(const Reply&)> finished);
+    void call(const char* method, Json::Value parameters, std::function<void(const Reply&)> onFinished);
     bool connect();
     void read();
     void handleLine(const std::string& line);
--- a/modules/mesh/MeshError.h
+++ b/modules/mesh/MeshError.h
@@ -6,15 +6,15 @@
 
 namespace Greengage {
 
-/// Why a call to a peer gave no answer.
+/// Why a call to a peer failed.
 enum class MeshErrorCode {
-    /// The connection could not be made or broke.
+    /// The connection could not be opened, or it failed.
     Disconnected,
     /// No answer came in time.
     TimedOut,
     /// The peer answered with an error.
     Refused,
-    /// The answer was not understood.
+    /// The answer could not be decoded.
     Malformed,
 };
 
--- a/modules/mesh/MeshServer.cpp
+++ b/modules/mesh/MeshServer.cpp
@@ -12,7 +12,7 @@
 
 namespace Greengage {
 
-/// The methods, bound to libjsonrpccpp's server.
+/// The methods of the server, registered with libjsonrpccpp.
 class MeshServer::Implementation : public jsonrpc::AbstractServer<MeshServer::Implementation> {
 public:
     Implementation(event_base& base, const std::string& address, std::uint16_t port, Handlers handlers)
@@ -30,7 +30,7 @@
     {
         const DocumentRecord* record = this->handlers.currentDocument();
         if (!record || !parameters["revision"].isUInt64() || record->revision < parameters["revision"].asUInt64())
-            refuse(parameters, "no such revision here");
+            refuse(parameters, "this daemon has no document of the requested revision or newer");
         result["call"] = parameters["call"];
         result["value"] = DocumentCodec::toJson(*record);
     }
@@ -38,7 +38,7 @@
     LineConnector& lines() { return *this->connector; }
 
 private:
-    /// Ends a call with an error that says which call it was; the library turns the exception into the answer.
+    /// Ends a call with an error that carries the id of the call; the library turns the exception into the answer.
     [[noreturn]] static void refuse(const Json::Value& parameters, const std::string& detail)
     {
         Json::Value data(Json::objectValue);
@@ -74,7 +74,7 @@
 Result<void, MeshError> MeshServer::listen()
 {
     if (!this->implementation->lines().StartListening())
-        return MeshError { MeshErrorCode::Disconnected, "cannot listen for other daemons" };
+        return MeshError { MeshErrorCode::Disconnected, "cannot listen for other daemons on the mesh port" };
     return success();
 }
 
--- a/modules/mesh/MeshServer.h
+++ b/modules/mesh/MeshServer.h
@@ -15,13 +15,13 @@
 
 struct DocumentRecord;
 
-/// Answers the calls of other daemons.
+/// Serves the calls of other daemons.
 class MeshServer {
 public:
     struct Handlers {
-        /// A peer asks for the state of this daemon.
+        /// Returns the state of this daemon.
         std::function<PeerState()> describe;
-        /// The record of the document in force here, or null if there is none.
+        /// Returns the record of the document that this daemon has applied, or null if there is none.
         std::function<const DocumentRecord*()> currentDocument;
     };
 
@@ -31,7 +31,7 @@
     MeshServer(const MeshServer&) = delete;
     MeshServer& operator=(const MeshServer&) = delete;
 
-    /// Starts to accept connections. The error says which address could not be bound.
+    /// Starts to accept connections. Fails if the address cannot be bound.
     Result<void, MeshError> listen();
 
     std::uint64_t bytesReceived() const;
--- a/modules/mesh/codec/PeerStateCodec.cpp
+++ b/modules/mesh/codec/PeerStateCodec.cpp
@@ -8,15 +8,15 @@
 namespace {
 
 constexpr Json::ArrayIndex maxDemandEntries = 20000;
-constexpr Json::ArrayIndex maxSightings = 1000;
+constexpr Json::ArrayIndex maxObservations = 1000;
 constexpr Json::ArrayIndex maxDrainingVms = 10000;
 constexpr std::size_t maxNameBytes = 256;
-/// Stands for an age without bound.
+/// Encodes the age of what was never seen or confirmed.
 constexpr Json::Int64 never = -1;
 
 Json::Value toJson(Milliseconds age) { return age == Milliseconds::max() ? never : Json::Int64(age.count()); }
 
-/// Demand by queue and team, {"<queue>":{"<team>":[running, waiting]}}, so that each name stands once.
+/// Encodes demand as {"<queue>":{"<team>":[running, waiting]}}, so that each queue name is sent once.
 Json::Value toJson(const std::vector<TeamDemand>& entries)
 {
     Json::Value queues(Json::objectValue);
@@ -29,7 +29,7 @@
     return queues;
 }
 
-/// Sightings by availability zone and incarnation, {"<zone>":{"<incarnation>":age in ms}}.
+/// Encodes observations of other daemons as {"<zone>":{"<incarnation>":age in ms}}, by availability zone.
 Json::Value toJson(const std::vector<PeerSighting>& entries)
 {
     Json::Value zones(Json::objectValue);
@@ -47,14 +47,14 @@
     return value.asInt64() == never ? Milliseconds::max() : Milliseconds(value.asInt64());
 }
 
-/// Reads members and remembers the first that is missing or of another type, so that the caller tests once.
+/// Reads members of an object and keeps the first error, so that the caller checks for errors once.
 class MemberReader {
 public:
     explicit MemberReader(const Json::Value& source)
         : source(source)
     {
         if (!source.isObject())
-            this->problem = "a value is not an object";
+            this->error = "the state is not an object";
     }
 
     std::string text(const char* name)
@@ -63,7 +63,7 @@
             return {};
         std::string value = this->source[name].asString();
         if (value.size() > maxNameBytes)
-            this->problem = std::string(name) + " is too long";
+            this->error = std::string(name) + " is too long";
         return value;
     }
 
@@ -90,23 +90,23 @@
         return this->has(name, [](const Json::Value& value) { return value.isObject(); }) ? this->source[name] : empty;
     }
 
-    const Json::Value& list(const char* name, Json::ArrayIndex longest)
+    const Json::Value& list(const char* name, Json::ArrayIndex maxEntries)
     {
         static const Json::Value empty(Json::arrayValue);
-        auto fits = [longest](const Json::Value& value) { return value.isArray() && value.size() <= longest; };
+        auto fits = [maxEntries](const Json::Value& value) { return value.isArray() && value.size() <= maxEntries; };
         return this->has(name, fits) ? this->source[name] : empty;
     }
 
-    std::string problem;
+    std::string error;
 
 private:
     template <typename Check> bool has(const char* name, Check check)
     {
-        if (!this->problem.empty())
+        if (!this->error.empty())
             return false;
         if (this->source.isMember(name) && check(this->source[name]))
             return true;
-        this->problem = std::string(name) + " is missing, of another type or out of range";
+        this->error = std::string(name) + " is missing, of the wrong type or out of range";
         return false;
     }
 
@@ -115,9 +115,10 @@
 
 MeshError malformed(const char* detail) { return { MeshErrorCode::Malformed, detail }; }
 
-/// Calls `take(outer name, inner name, value)` for each member of an object of objects. False if a value in between is
-/// no object, a name is too long, there are more than `longest` members, or `take` refuses one.
-template <typename Take> bool readNested(const Json::Value& outer, std::size_t longest, const Take& take)
+/// Calls `readEntry(outer name, inner name, value)` for each member of an object of objects. Returns false if an inner
+/// value is not an object, a name is too long, there are more than `maxEntries` members, or `readEntry` returns false.
+template <typename ReadEntry>
+bool readNested(const Json::Value& outer, std::size_t maxEntries, const ReadEntry& readEntry)
 {
     std::size_t count = 0;
     for (const std::string& outerName : outer.getMemberNames()) {
@@ -125,7 +126,8 @@
         if (!inner.isObject() || outerName.size() > maxNameBytes)
             return false;
         for (const std::string& innerName : inner.getMemberNames()) {
-            if (++count > longest || innerName.size() > maxNameBytes || !take(outerName, innerName, inner[innerName]))
+            if (++count > maxEntries || innerName.size() > maxNameBytes
+                || !readEntry(outerName, innerName, inner[innerName]))
                 return false;
         }
     }
@@ -143,10 +145,10 @@
         });
 }
 
-bool readSightings(const Json::Value& zones, std::vector<PeerSighting>& sightings)
+bool readObservations(const Json::Value& zones, std::vector<PeerSighting>& sightings)
 {
     return readNested(
-        zones, maxSightings, [&](const std::string& zone, const std::string& incarnation, const Json::Value& age) {
+        zones, maxObservations, [&](const std::string& zone, const std::string& incarnation, const Json::Value& age) {
             if (!isAge(age))
                 return false;
             sightings.push_back({ IncarnationId(incarnation), ZoneId(zone), ageOf(age) });
@@ -158,13 +160,13 @@
 {
     for (const Json::Value& item : reader.list("busyDrainingVms", maxDrainingVms)) {
         if (!item.isString())
-            return malformed("busyDrainingVms holds something else than names");
+            return malformed("busyDrainingVms has an entry that is not a string");
         state.busyDrainingVms.emplace_back(item.asString());
     }
     if (!readDemand(reader.object("demand"), state.demand))
-        return malformed("demand is not made of pairs of counts by queue and team");
-    if (!readSightings(reader.object("sightings"), state.sightings))
-        return malformed("sightings is not made of ages by availability zone and incarnation");
+        return malformed("demand must hold pairs of counts by queue and team");
+    if (!readObservations(reader.object("sightings"), state.sightings))
+        return malformed("sightings must hold ages by availability zone and incarnation");
     return success();
 }
 
@@ -202,8 +204,8 @@
     state.shuttingDown = reader.flag("shuttingDown");
     state.appliedLedgerRevision = reader.number("appliedLedgerRevision");
     BOOST_OUTCOME_TRY(readLists(reader, state));
-    if (!reader.problem.empty())
-        return MeshError { MeshErrorCode::Malformed, reader.problem };
+    if (!reader.error.empty())
+        return MeshError { MeshErrorCode::Malformed, reader.error };
     return state;
 }
 
--- a/modules/mesh/codec/PeerStateCodec.h
+++ b/modules/mesh/codec/PeerStateCodec.h
@@ -10,8 +10,8 @@
 
 namespace Greengage {
 
-/// Turns peer states into JSON and back. Decoding refuses missing and mistyped members, negative numbers and lists
-/// longer than any fleet makes them.
+/// Encodes peer states as JSON and decodes them. Decoding rejects missing and mistyped members, negative numbers, and
+/// lists longer than any fleet produces.
 class PeerStateCodec {
 public:
     static Json::Value toJson(const PeerState&);
--- a/modules/mesh/mesh.h
+++ b/modules/mesh/mesh.h
@@ -1,4 +1,4 @@
-// Purpose: messages between daemons: JSON-RPC 2.0 over TCP, one message a line.
+// Purpose: calls between daemons: JSON-RPC 2.0 over TCP, one message a line.
 // Dependencies: core, loop, config, the peer state of fleet, libjsonrpccpp, libevent, jsoncpp.
 #pragma once
 
--- a/modules/mesh/rpc/BoundSocket.h
+++ b/modules/mesh/rpc/BoundSocket.h
@@ -6,8 +6,8 @@
 
 namespace Greengage {
 
-/// A transport on a new non-blocking TCP socket that is bound to a local address, with any port; null if the address
-/// cannot be bound.
+/// Creates a bufferevent on a new non-blocking TCP socket that is bound to a local address and any free port. Returns
+/// null if the address cannot be bound.
 EventPointer<bufferevent> makeBoundTransport(event_base&, const std::string& sourceAddress);
 
 } // namespace Greengage
--- a/modules/mesh/rpc/LineConnector.cpp
+++ b/modules/mesh/rpc/LineConnector.cpp
@@ -13,9 +13,9 @@
 namespace {
 
 constexpr std::size_t maxRequestLineBytes = 64 * 1024;
-constexpr std::size_t maxWaitingResponseBytes = 4 * 1024 * 1024;
+constexpr std::size_t maxBufferedResponseBytes = 4 * 1024 * 1024;
 constexpr std::size_t maxConnections = 256;
-constexpr timeval silenceTimeout { 30, 0 };
+constexpr timeval idleTimeout { 30, 0 };
 
 } // namespace
 
@@ -58,8 +58,8 @@
     bufferevent* handle = connection.get();
     bufferevent_setcb(
         handle, [](bufferevent* from, void* self) { static_cast<LineConnector*>(self)->read(from); }, nullptr,
-        [](bufferevent* from, short, void* self) { static_cast<LineConnector*>(self)->drop(from); }, this);
-    bufferevent_set_timeouts(handle, &silenceTimeout, &silenceTimeout);
+        [](bufferevent* from, short, void* self) { static_cast<LineConnector*>(self)->disconnect(from); }, this);
+    bufferevent_set_timeouts(handle, &idleTimeout, &idleTimeout);
     bufferevent_setwatermark(handle, EV_READ, 0, maxRequestLineBytes);
     bufferevent_enable(handle, EV_READ | EV_WRITE);
     this->connections.emplace(handle, std::move(connection));
@@ -73,21 +73,21 @@
         std::string line(text, length);
         free(text); // NOLINT(cppcoreguidelines-no-malloc): allocated by libevent
         this->received += length;
-        if (!this->pass(line, from) || !this->connections.contains(from))
+        if (!this->dispatch(line, from) || !this->connections.contains(from))
             return;
     }
     if (evbuffer_get_length(input) >= maxRequestLineBytes)
-        this->drop(from);
+        this->disconnect(from);
 }
 
-bool LineConnector::pass(const std::string& line, bufferevent* from)
+bool LineConnector::dispatch(const std::string& line, bufferevent* from)
 {
     try {
         this->OnRequest(line, from);
         return true;
     } catch (const Json::Exception&) {
-        // jsoncpp throws where the nesting is too deep.
-        this->drop(from);
+        // jsoncpp throws if the nesting is too deep.
+        this->disconnect(from);
         return false;
     }
 }
@@ -98,11 +98,11 @@
     if (!this->connections.contains(to))
         return false;
     evbuffer* output = bufferevent_get_output(to);
-    if (evbuffer_get_length(output) + response.size() > maxWaitingResponseBytes) {
-        this->drop(to);
+    if (evbuffer_get_length(output) + response.size() > maxBufferedResponseBytes) {
+        this->disconnect(to);
         return false;
     }
-    // The library's writer may end its text with a newline, and a line ends with exactly one.
+    // The library's writer may end its text with a newline; a line must end with exactly one.
     std::size_t length = response.find_last_not_of('\n') + 1;
     evbuffer_add(output, response.data(), length);
     evbuffer_add(output, "\n", 1);
@@ -110,6 +110,6 @@
     return true;
 }
 
-void LineConnector::drop(bufferevent* connection) { this->connections.erase(connection); }
+void LineConnector::disconnect(bufferevent* connection) { this->connections.erase(connection); }
 
 } // namespace Greengage
--- a/modules/mesh/rpc/LineConnector.h
+++ b/modules/mesh/rpc/LineConnector.h
@@ -9,8 +9,8 @@
 
 namespace Greengage {
 
-/// Carries JSON-RPC messages for libjsonrpccpp's server, one a line, over TCP connections on the event loop. A peer
-/// that sends a line beyond the bound, sends nothing for long, or does not take its answers is disconnected.
+/// Transports JSON-RPC messages for libjsonrpccpp's server over TCP connections on the event loop, one message a line.
+/// A peer is disconnected if it sends a line that is too long, stays idle for too long, or does not read its answers.
 class LineConnector : public jsonrpc::AbstractServerConnector {
 public:
     LineConnector(event_base&, std::string address, std::uint16_t port);
@@ -29,9 +29,9 @@
 private:
     void accept(int socket);
     void read(bufferevent*);
-    /// Hands a line to the library's server; tells whether the connection goes on.
-    bool pass(const std::string& line, bufferevent* from);
-    void drop(bufferevent*);
+    /// Passes a line to the library's server; returns whether the connection stays open.
+    bool dispatch(const std::string& line, bufferevent* from);
+    void disconnect(bufferevent*);
 
     event_base& base;
     std::string address;
--- a/modules/mesh/rpc/ReplyParser.h
+++ b/modules/mesh/rpc/ReplyParser.h
@@ -7,8 +7,7 @@
 
 namespace Greengage {
 
-/// Parses a line with the answer to a batch of one call: {"call","value"} as its result, or an error whose data has
-/// "call".
+/// Parses the answer line to a batch of one call. Its result is {"call", "value"}; an error carries "call" in its data.
 Result<RpcReply, MeshError> parseReply(const std::string& line);
 
 } // namespace Greengage
--- a/modules/mesh/rpc/RpcReply.h
+++ b/modules/mesh/rpc/RpcReply.h
@@ -8,7 +8,7 @@
 
 namespace Greengage {
 
-/// The answer to one call: its number, and its result or the peer's error.
+/// The answer to one call: the id of the call, and its result or the peer's error.
 struct RpcReply {
     std::int64_t call = 0;
     Result<Json::Value, MeshError> result;
--- a/modules/mesh/tests/MeshTests.cpp
+++ b/modules/mesh/tests/MeshTests.cpp
@@ -72,7 +72,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(MeshTests, MeshFixture)
 
-BOOST_AUTO_TEST_CASE(stateIsReadWhole)
+BOOST_AUTO_TEST_CASE(stateIsReadCompletely)
 {
     MeshClient client(this->loop.base(), this->address, "127.0.0.1");
     const auto& result = this->exchange(client);
@@ -90,12 +90,12 @@
     BOOST_TEST((read.sightings[1].age == Milliseconds(40)));
 }
 
-BOOST_AUTO_TEST_CASE(documentIsFetchedOnlyIfNewEnough)
+BOOST_AUTO_TEST_CASE(documentIsFetchedOnlyIfItsRevisionIsNewEnough)
 {
     MeshClient client(this->loop.base(), this->address, "127.0.0.1");
-    const auto& without = this->fetch(client, 1);
-    BOOST_REQUIRE(!without.has_value());
-    BOOST_TEST((without.error().code == MeshErrorCode::Refused));
+    const auto& missing = this->fetch(client, 1);
+    BOOST_REQUIRE(!missing.has_value());
+    BOOST_TEST((missing.error().code == MeshErrorCode::Refused));
     this->document = DocumentRecord { 5, { { 5, "change", "author", 1, { "team t" } } }, "[team t]\n" };
     const auto& found = this->fetch(client, 5);
     BOOST_REQUIRE(found.has_value());
@@ -103,19 +103,19 @@
     BOOST_TEST(!this->fetch(client, 6).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(silentConnectionIsReplaced)
+BOOST_AUTO_TEST_CASE(unresponsiveConnectionIsReplaced)
 {
-    ScriptedServer silent(this->loop.base(), [](const std::string&) { return ScriptedServer::Reply {}; });
-    MeshClient client(this->loop.base(), { "127.0.0.1", silent.port() }, "127.0.0.1");
+    ScriptedServer unresponsive(this->loop.base(), [](const std::string&) { return ScriptedServer::Reply {}; });
+    MeshClient client(this->loop.base(), { "127.0.0.1", unresponsive.port() }, "127.0.0.1");
     for (int turn = 1; turn <= 2; ++turn) {
         const auto& result = this->exchange(client);
         BOOST_REQUIRE(!result.has_value());
         BOOST_TEST((result.error().code == MeshErrorCode::TimedOut));
-        BOOST_TEST(silent.connections == turn);
+        BOOST_TEST(unresponsive.connections == turn);
     }
 }
 
-/// libjsonrpccpp's parser throws where the nesting is too deep.
+/// Malformed input must not end the server: libjsonrpccpp's parser throws if the nesting is too deep.
 BOOST_AUTO_TEST_CASE(lineThatCannotBeParsedEndsOnlyItsConnection)
 {
     for (const std::string& line : { std::string(5000, '['), std::string("{]"), std::string("\xff\xfe") }) {
@@ -133,7 +133,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(answerToAnotherCallIsNotTaken)
+BOOST_AUTO_TEST_CASE(answerToAnotherCallIsIgnored)
 {
     ScriptedServer stale(this->loop.base(), [](const std::string&) {
         return ScriptedServer::Reply { "[{\"id\":1,\"jsonrpc\":\"2.0\",\"result\":{\"call\":99,\"value\":{}}}]\n" };
@@ -144,13 +144,13 @@
     BOOST_TEST((result.error().code == MeshErrorCode::TimedOut));
 }
 
-BOOST_AUTO_TEST_CASE(malformedAndMissingPeersGiveErrors)
+BOOST_AUTO_TEST_CASE(malformedAnswersAndMissingPeersGiveErrors)
 {
-    ScriptedServer odd(this->loop.base(), [](const std::string&) { return ScriptedServer::Reply { "{]\n" }; });
-    MeshClient client(this->loop.base(), { "127.0.0.1", odd.port() }, "127.0.0.1");
+    ScriptedServer malformed(this->loop.base(), [](const std::string&) { return ScriptedServer::Reply { "{]\n" }; });
+    MeshClient client(this->loop.base(), { "127.0.0.1", malformed.port() }, "127.0.0.1");
     BOOST_TEST((this->exchange(client).error().code == MeshErrorCode::Malformed));
-    MeshClient nobody(this->loop.base(), { "127.0.0.1", 1 }, "127.0.0.1");
-    BOOST_TEST((this->exchange(nobody).error().code == MeshErrorCode::Disconnected));
+    MeshClient missing(this->loop.base(), { "127.0.0.1", 1 }, "127.0.0.1");
+    BOOST_TEST((this->exchange(missing).error().code == MeshErrorCode::Disconnected));
 }
 
 BOOST_AUTO_TEST_CASE(statesWithMissingOrMistypedMembersAreRefused)
