--- a/modules/daemon/admin/AdminApi.cpp
+++ b/modules/daemon/admin/AdminApi.cpp
@@ -73,7 +73,7 @@
     else if (request.path == "/metrics")
         respond({ 200, "text/plain; version=0.0.4", this->sources.metricsPage() });
     else
-        respond(errorText(statusNotFound, "there is no such page"));
+        respond(errorText(statusNotFound, "unknown path"));
 }
 
 void AdminApi::readHistory(const std::string& changeId, AdminServer::Responder respond)
@@ -82,9 +82,9 @@
         if (entry.has_value())
             respond({ 200, "text/plain", entry.value().value });
         else if (entry.error().code == StoreErrorCode::NotFound)
-            respond(errorText(statusNotFound, "there is no such change"));
+            respond(errorText(statusNotFound, "the history holds no change with this id"));
         else
-            respond(errorText(statusUnavailable, "the store cannot be reached"));
+            respond(errorText(statusUnavailable, "the store is unreachable"));
     });
 }
 
@@ -105,25 +105,26 @@
             .add("change", submission.value().changeId)
             .add("author", submission.value().author)
             .add("base", submission.value().baseRevision));
-    this->submitters.push_back(
-        std::make_unique<DocumentSubmitter>(this->base, this->store, std::move(submission.value()),
-            [this, respond = std::move(respond)](SubmissionEnd end) { this->handleEnd(std::move(end), respond); }));
+    this->submitters.push_back(std::make_unique<DocumentSubmitter>(this->base, this->store,
+        std::move(submission.value()), [this, respond = std::move(respond)](SubmissionOutcome outcome) {
+            this->handleOutcome(std::move(outcome), respond);
+        }));
     this->submitters.back()->start();
 }
 
-void AdminApi::handleEnd(SubmissionEnd end, const AdminServer::Responder& respond)
+void AdminApi::handleOutcome(SubmissionOutcome outcome, const AdminServer::Responder& respond)
 {
-    if (auto* record = std::get_if<DocumentRecord>(&end)) {
-        this->sources.stored(*record);
+    if (auto* record = std::get_if<DocumentRecord>(&outcome)) {
+        this->sources.onDocumentStored(*record);
         this->awaitRollout(record->revision, respond);
-    } else if (auto* made = std::get_if<AlreadyInForce>(&end))
-        this->awaitRollout(made->revision, respond);
-    else if (auto* conflicts = std::get_if<SectionConflicts>(&end))
+    } else if (auto* existing = std::get_if<AlreadyInForce>(&outcome))
+        this->awaitRollout(existing->revision, respond);
+    else if (auto* conflicts = std::get_if<SectionConflicts>(&outcome))
         respond(json(statusConflict, AdminCodec::encodeConflicts(*conflicts)));
-    else if (auto* errors = std::get_if<ConfigErrors>(&end))
+    else if (auto* errors = std::get_if<ConfigErrors>(&outcome))
         respond(json(statusUnprocessable, AdminCodec::encodeErrors(*errors)));
     else
-        respond(failureText(std::get<SubmissionFailure>(end)));
+        respond(failureText(std::get<SubmissionFailure>(outcome)));
 }
 
 void AdminApi::awaitRollout(std::uint64_t revision, AdminServer::Responder respond)
@@ -137,7 +138,7 @@
 {
     Instant now = BootClock::now();
     std::erase_if(this->rollouts, [this, now](const Rollout& rollout) {
-        auto behind = this->sources.rollout.behind(rollout.revision, rollout.acceptedAt, now);
+        auto behind = this->sources.rollout.daemonsBehind(rollout.revision, rollout.acceptedAt, now);
         bool isAppliedHere = this->sources.configuration.appliedRevision() >= rollout.revision;
         bool inForce = behind.empty() && isAppliedHere;
         if (!inForce && !rollout.answerBy.hasPassed(now))
--- a/modules/daemon/admin/AdminApi.h
+++ b/modules/daemon/admin/AdminApi.h
@@ -2,8 +2,8 @@
 
 #include <config/admin/StatusReport.h>
 #include <core/time/Deadline.h>
-#include <daemon/admin/RolloutJudge.h>
-#include <daemon/admin/SubmissionEnd.h>
+#include <daemon/admin/RolloutTracker.h>
+#include <daemon/admin/SubmissionOutcome.h>
 #include <gateway/admin/AdminServer.h>
 #include <loop/timers/Timer.h>
 
@@ -21,17 +21,17 @@
 struct DocumentSubmission;
 struct KnownConfiguration;
 
-/// Answers operators' requests: the document, its history, submissions and the daemon's status.
+/// Handles requests to the admin port: the document, its history, submissions, status and metrics.
 class AdminApi {
 public:
     struct Sources {
         const KnownConfiguration& configuration;
-        const RolloutJudge& rollout;
+        const RolloutTracker& rollout;
         std::function<StatusReport()> status;
         std::function<std::string()> metricsPage;
         std::function<std::string()> burnRows;
-        /// A record has been stored; it is to be applied at once.
-        std::function<void(const DocumentRecord&)> stored;
+        /// Called with a record that a submission has stored, so that this daemon applies it at once.
+        std::function<void(const DocumentRecord&)> onDocumentStored;
     };
 
     AdminApi(event_base&, StoreClient&, Sources);
@@ -40,7 +40,7 @@
     void handle(const AdminRequest&, AdminServer::Responder);
 
 private:
-    /// An accepted submission whose operator waits until it is in force.
+    /// A stored submission whose response is sent once every daemon has applied it, or at `answerBy`.
     struct Rollout {
         std::uint64_t revision = 0;
         Instant acceptedAt;
@@ -49,7 +49,7 @@
     };
 
     void submit(const std::string& body, AdminServer::Responder);
-    void handleEnd(SubmissionEnd, const AdminServer::Responder&);
+    void handleOutcome(SubmissionOutcome, const AdminServer::Responder&);
     void awaitRollout(std::uint64_t revision, AdminServer::Responder);
     void checkRollouts();
     void readHistory(const std::string& changeId, AdminServer::Responder);
--- a/modules/daemon/admin/DocumentSubmitter.cpp
+++ b/modules/daemon/admin/DocumentSubmitter.cpp
@@ -26,10 +26,10 @@
 } // namespace
 
 DocumentSubmitter::DocumentSubmitter(
-    event_base& base, StoreClient& store, DocumentSubmission submission, Finished finished)
+    event_base& base, StoreClient& store, DocumentSubmission submission, OnFinished onFinished)
     : store(store)
     , submission(std::move(submission))
-    , finished(std::move(finished))
+    , onFinished(std::move(onFinished))
     , giveUpAt(Deadline::after(BootClock::now(), submissionTimeout))
     , retry(base, [this] { this->readRecord(); })
 {
@@ -61,7 +61,7 @@
         if (base)
             this->readBase(*base);
         else
-            this->judge("");
+            this->evaluate("");
     });
 }
 
@@ -69,31 +69,31 @@
 {
     this->store.read(historyPrefix + changeId, [this](Result<StoreEntry, StoreError> entry) {
         if (entry.has_value())
-            this->judge(entry.value().value);
+            this->evaluate(entry.value().value);
         else if (entry.error().code == StoreErrorCode::NotFound)
-            this->finish(ConfigErrors {
-                { { "", "", 0, "the base revision's text is no longer kept; start from the newest" } } });
+            this->finish(ConfigErrors { { { "", "", 0,
+                "the text of the base revision is no longer stored; start from the newest revision" } } });
         else
             this->handleFailure(entry.error(), false);
     });
 }
 
-void DocumentSubmitter::judge(const std::string& baseText)
+void DocumentSubmitter::evaluate(const std::string& baseText)
 {
     AcceptanceOutcome outcome
         = DocumentAcceptance::judge(this->current, baseText, this->submission, unixMilliseconds());
     if (auto* change = std::get_if<AcceptedChange>(&outcome)) {
         this->accepted = std::move(change->record);
         this->writeHistory(0);
-    } else if (auto* made = std::get_if<AlreadyInForce>(&outcome))
-        this->finish(*made);
+    } else if (auto* existing = std::get_if<AlreadyInForce>(&outcome))
+        this->finish(*existing);
     else if (auto* conflicts = std::get_if<SectionConflicts>(&outcome))
         this->finish(std::move(*conflicts));
     else
         this->finish(std::get<ConfigErrors>(std::move(outcome)));
 }
 
-/// The text of an earlier try may stand under the same change id; it is replaced.
+/// Replaces the text that an earlier attempt may have stored under the same change id.
 void DocumentSubmitter::writeHistory(std::uint64_t expectedVersion)
 {
     StoreWrite write { historyPrefix + this->submission.changeId, this->accepted.text, expectedVersion, "" };
@@ -128,11 +128,11 @@
         this->retry.schedule(retryDelay);
 }
 
-void DocumentSubmitter::finish(SubmissionEnd end)
+void DocumentSubmitter::finish(SubmissionOutcome outcome)
 {
-    Finished callback = std::move(this->finished);
-    this->finished = nullptr;
-    callback(std::move(end));
+    OnFinished callback = std::move(this->onFinished);
+    this->onFinished = nullptr;
+    callback(std::move(outcome));
 }
 
 } // namespace Greengage
--- a/modules/daemon/admin/DocumentSubmitter.h
+++ b/modules/daemon/admin/DocumentSubmitter.h
@@ -3,7 +3,7 @@
 #include <config/acceptance/DocumentAcceptance.h>
 #include <config/acceptance/DocumentSubmission.h>
 #include <core/time/Deadline.h>
-#include <daemon/admin/SubmissionEnd.h>
+#include <daemon/admin/SubmissionOutcome.h>
 #include <loop/timers/Timer.h>
 
 #include <cstdint>
@@ -16,43 +16,43 @@
 class StoreClient;
 struct StoreError;
 
-/// Puts one submission in the store: reads the record, judges, writes the history and then the record by
-/// compare-and-swap, and begins again where another change came between or an answer was lost. The change id in the
-/// record tells whether an earlier write took effect.
+/// Stores one submission: reads the stored record, evaluates the submission against it, and writes the history entry
+/// and then the record by compare-and-swap. It starts over when another change was stored in between or when the answer
+/// to a write was lost. The change id in the record shows whether an earlier write took effect.
 class DocumentSubmitter {
 public:
-    using Finished = std::function<void(SubmissionEnd)>;
+    using OnFinished = std::function<void(SubmissionOutcome)>;
 
-    /// `finished` is called exactly once, from the loop. It must not destroy the submitter.
-    DocumentSubmitter(event_base&, StoreClient&, DocumentSubmission, Finished finished);
+    /// `onFinished` is called exactly once, from the event loop. It must not destroy the submitter.
+    DocumentSubmitter(event_base&, StoreClient&, DocumentSubmission, OnFinished onFinished);
 
     DocumentSubmitter(const DocumentSubmitter&) = delete;
     DocumentSubmitter& operator=(const DocumentSubmitter&) = delete;
 
-    /// Gives up, as after a conflict, unless the submission's base is the newest revision.
+    /// Makes the submission end with a conflict unless its base is the newest revision.
     void requireNewestBase() { this->newestBaseRequired = true; }
 
     void start() { this->readRecord(); }
 
-    bool isFinished() const { return !this->finished; }
+    bool isFinished() const { return !this->onFinished; }
 
 private:
     void readRecord();
     void readBase(const std::string& changeId);
-    void judge(const std::string& baseText);
+    void evaluate(const std::string& baseText);
     void writeHistory(std::uint64_t expectedVersion);
     void writeRecord();
     void handleFailure(const StoreError&, bool isRecordWrite);
-    void finish(SubmissionEnd);
+    void finish(SubmissionOutcome);
 
     StoreClient& store;
     DocumentSubmission submission;
-    Finished finished;
+    OnFinished onFinished;
     Deadline giveUpAt;
     DocumentRecord current;
     std::uint64_t currentVersion = 0;
     DocumentRecord accepted;
-    /// Whether a write of the record has been sent whose answer did not come.
+    /// Whether a write of the record was sent and its answer was lost, so that it may have taken effect.
     bool mayBeWritten = false;
     bool newestBaseRequired = false;
     Timer retry;
--- a/modules/daemon/admin/RolloutTracker.h
+++ b/modules/daemon/admin/RolloutTracker.h
@@ -12,16 +12,16 @@
 class MemberTable;
 class PeerTable;
 
-/// Tells on which daemons a revision is in force: it is once each member has reported it as applied, or has not been
-/// heard for so long that it may not act on older knowledge any more.
-class RolloutJudge {
+/// Determines which daemons have a revision in force. A revision is in force once every member has reported it as
+/// applied, or was last seen so long ago that it must have stopped acting on older revisions.
+class RolloutTracker {
 public:
-    RolloutJudge(const MemberTable&, const PeerTable&, IncarnationId self);
+    RolloutTracker(const MemberTable&, const PeerTable&, IncarnationId self);
 
     /// Names of the daemons that may still act on a revision older than `revision`, which was stored at `acceptedAt`.
-    std::vector<std::string> behind(std::uint64_t revision, Instant acceptedAt, Instant now) const;
+    std::vector<std::string> daemonsBehind(std::uint64_t revision, Instant acceptedAt, Instant now) const;
 
-    /// The newest revision, up to our own `appliedRevision`, that every daemon heard of late has applied.
+    /// The newest revision, at most this daemon's own `appliedRevision`, that every recently seen daemon has applied.
     std::uint64_t inForceRevision(std::uint64_t appliedRevision, Instant now) const;
 
 private:
--- a/modules/daemon/admin/SubmissionFailure.h
+++ b/modules/daemon/admin/SubmissionFailure.h
@@ -4,11 +4,11 @@
 
 namespace Greengage {
 
-/// Why nothing is known to have been stored.
+/// Why a submission is not known to be stored.
 enum class SubmissionFailure {
     /// The store could not be reached; nothing was written.
     NotAccepted,
-    /// A write was sent and its answer was lost. Submitting the same change again settles it.
+    /// A write was sent and its answer was lost. Submitting the same change again resolves it.
     Unknown,
 };
 
--- a/modules/daemon/admin/SubmissionOutcome.h
+++ b/modules/daemon/admin/SubmissionOutcome.h
@@ -10,7 +10,8 @@
 
 namespace Greengage {
 
-/// What became of a submission: the record that holds it, a revision that held it already, or why it was not accepted.
-using SubmissionEnd = std::variant<DocumentRecord, AlreadyInForce, SectionConflicts, ConfigErrors, SubmissionFailure>;
+/// The outcome of a submission: the stored record, the revision that already contains it, or why it was not accepted.
+using SubmissionOutcome
+    = std::variant<DocumentRecord, AlreadyInForce, SectionConflicts, ConfigErrors, SubmissionFailure>;
 
 } // namespace Greengage
--- a/modules/daemon/admin/WaveApi.cpp
+++ b/modules/daemon/admin/WaveApi.cpp
@@ -18,7 +18,7 @@
 constexpr int statusConflict = 409;
 constexpr int statusUnavailable = 503;
 constexpr std::size_t commandIdBytes = 8;
-/// How long a VM is expected to be out of service in a plan.
+/// How long a plan expects each VM to be out of service.
 constexpr Seconds expectedTimePerVm { 30 };
 
 int statusOf(CommandOutcome outcome)
@@ -44,7 +44,7 @@
     return { statusOf(outcome), "application/json", writeJson(value) + "\n" };
 }
 
-/// The id under which the operator gives the command; a new one unless the body names one.
+/// The command id from the request body, or a new random one if the body has none.
 std::string commandIdOf(const std::string& body)
 {
     auto parsed = parseJson(body);
@@ -89,7 +89,7 @@
         this->sources.driver.command(wave, *verb, commandIdOf(request.body),
             [respond = std::move(respond)](CommandOutcome outcome) { respond(toResponse(outcome)); });
     else
-        respond({ statusNotFound, "application/json", "{\"error\":\"there is no such page\"}\n" });
+        respond({ statusNotFound, "application/json", "{\"error\":\"unknown path\"}\n" });
 }
 
 void WaveApi::plan(const WaveId& name, const AdminServer::Responder& respond)
--- a/modules/daemon/admin/WaveApi.h
+++ b/modules/daemon/admin/WaveApi.h
@@ -11,7 +11,7 @@
 
 struct VmRecord;
 
-/// Answers operators' requests about waves: commands and the plan of a dry run.
+/// Handles admin requests about waves: commands, and the plan that a dry run shows.
 class WaveApi {
 public:
     static constexpr const char* pathPrefix = "/v1/waves/";
--- a/modules/daemon/allotments/AllotmentWriter.cpp
+++ b/modules/daemon/allotments/AllotmentWriter.cpp
@@ -14,9 +14,9 @@
 
 } // namespace
 
-AllotmentWriter::AllotmentWriter(event_base& base, StoreClient& store, Input input)
+AllotmentWriter::AllotmentWriter(event_base& base, StoreClient& store, OnInput onInput)
     : store(store)
-    , input(std::move(input))
+    , onInput(std::move(onInput))
     , retry(base, [this] { this->readBack(); })
 {
 }
@@ -30,14 +30,14 @@
             return;
         }
         this->newestVersion = std::max(this->newestVersion, written.value());
-        this->input(AllotmentsRead { written.value(), value, true });
+        this->onInput(AllotmentsRead { written.value(), value, true });
     });
 }
 
 void AllotmentWriter::handleFailure(const StoreError& error)
 {
     bool mayHaveTakenEffect = error.code == StoreErrorCode::AnswerLost || error.code == StoreErrorCode::Malformed;
-    this->input(AllotmentsWriteFailed { mayHaveTakenEffect });
+    this->onInput(AllotmentsWriteFailed { mayHaveTakenEffect });
     this->readBack();
 }
 
@@ -46,20 +46,20 @@
     this->store.read(key, [this](Result<StoreEntry, StoreError> entry) {
         if (entry.has_value()) {
             this->newestVersion = std::max(this->newestVersion, entry.value().version);
-            this->input(AllotmentsRead { entry.value().version, entry.value().value, false });
+            this->onInput(AllotmentsRead { entry.value().version, entry.value().value, false });
         } else if (entry.error().code == StoreErrorCode::NotFound)
-            this->input(AllotmentsRead {});
+            this->onInput(AllotmentsRead {});
         else
             this->retry.schedule(retryDelay);
     });
 }
 
-void AllotmentWriter::take(const StoreEntry& entry)
+void AllotmentWriter::handleEntry(const StoreEntry& entry)
 {
     if (entry.version <= this->newestVersion)
         return;
     this->newestVersion = entry.version;
-    this->input(AllotmentsRead { entry.version, entry.value, false });
+    this->onInput(AllotmentsRead { entry.version, entry.value, false });
 }
 
 } // namespace Greengage
--- a/modules/daemon/allotments/AllotmentWriter.h
+++ b/modules/daemon/allotments/AllotmentWriter.h
@@ -14,25 +14,27 @@
 struct StoreError;
 struct UpdateAllotments;
 
-/// Writes the value of all allotments by compare-and-swap and passes on what is read of it, newest last.
+/// Writes the stored value of all allotments by compare-and-swap, and forwards values read from the store. A value that
+/// the store watch returns is forwarded only if it is newer than those before.
 class AllotmentWriter {
 public:
     static constexpr const char* key = "limits/allotments";
-    using Input = std::function<void(RequestInput)>;
+    /// Receives the inputs for the request plane.
+    using OnInput = std::function<void(RequestInput)>;
 
-    AllotmentWriter(event_base&, StoreClient&, Input input);
+    AllotmentWriter(event_base&, StoreClient&, OnInput onInput);
 
     void update(const UpdateAllotments&);
 
-    /// The watch has brought a value.
-    void take(const StoreEntry&);
+    /// Handles a value that the store watch returned.
+    void handleEntry(const StoreEntry&);
 
 private:
     void handleFailure(const StoreError&);
     void readBack();
 
     StoreClient& store;
-    Input input;
+    OnInput onInput;
     std::uint64_t newestVersion = 0;
     Timer retry;
 };
--- a/modules/daemon/claims/ClaimLease.cpp
+++ b/modules/daemon/claims/ClaimLease.cpp
@@ -17,7 +17,7 @@
 {
 }
 
-void ClaimLease::obtain(Callback callback)
+void ClaimLease::acquire(Callback callback)
 {
     Instant now = BootClock::now();
     if (!this->leaseId.empty() && !this->sharedUntil.hasPassed(now)) {
@@ -39,9 +39,9 @@
     });
 }
 
-void ClaimLease::discard(const std::string& lapsed)
+void ClaimLease::discard(const std::string& expired)
 {
-    if (this->leaseId == lapsed)
+    if (this->leaseId == expired)
         this->leaseId.clear();
 }
 
--- a/modules/daemon/claims/ClaimLease.h
+++ b/modules/daemon/claims/ClaimLease.h
@@ -12,18 +12,18 @@
 
 class StoreClient;
 
-/// Gives claims a lease that lapses a retention period after it was granted. Claims made within some minutes of each
-/// other share one, which is never renewed.
+/// Provides leases for claims. A lease expires 24 hours after it was granted and is never renewed; claims created
+/// within ten minutes of the grant share it.
 class ClaimLease {
 public:
     using Callback = std::function<void(Result<std::string, StoreError>)>;
 
     explicit ClaimLease(StoreClient&);
 
-    /// Calls back with a lease for a new claim: at once if one is at hand.
-    void obtain(Callback);
+    /// Calls back with a lease for a new claim: immediately if the shared one may still be used.
+    void acquire(Callback);
 
-    /// Gives a lease up that the store no longer knows.
+    /// Stops using a lease that has expired in the store.
     void discard(const std::string& leaseId);
 
 private:
--- a/modules/daemon/claims/ClaimWriter.cpp
+++ b/modules/daemon/claims/ClaimWriter.cpp
@@ -14,19 +14,19 @@
 
 } // namespace
 
-ClaimWriter::ClaimWriter(event_base& base, StoreClient& store, IncarnationId self, Settled settled)
+ClaimWriter::ClaimWriter(event_base& base, StoreClient& store, IncarnationId self, OnSettled onSettled)
     : store(store)
     , self(std::move(self))
-    , settled(std::move(settled))
+    , onSettled(std::move(onSettled))
     , lease(store)
     , timer(base, [this] { this->handleTimer(); })
 {
 }
 
-void ClaimWriter::write(const WriteClaim& wanted)
+void ClaimWriter::write(const WriteClaim& command)
 {
     std::uint64_t id = this->nextClaim++;
-    this->claims.emplace(id, Claim { wanted, false });
+    this->claims.emplace(id, Claim { command, false });
     if (this->claims.size() == 1)
         this->timer.schedule(checkInterval);
     this->attempt(id);
@@ -34,7 +34,7 @@
 
 void ClaimWriter::attempt(std::uint64_t id)
 {
-    this->lease.obtain([this, id](const Result<std::string, StoreError>& leaseId) {
+    this->lease.acquire([this, id](const Result<std::string, StoreError>& leaseId) {
         if (leaseId.has_value())
             this->create(id, leaseId.value());
         else
@@ -47,12 +47,12 @@
     auto found = this->claims.find(id);
     if (found == this->claims.end())
         return;
-    if (found->second.wanted.settleBy.hasPassed(BootClock::now())) {
+    if (found->second.command.settleBy.hasPassed(BootClock::now())) {
         this->settle(id, found->second.mayBeWritten ? ClaimResult::Unsettled : ClaimResult::NotMade);
         return;
     }
-    StoreWrite write { found->second.wanted.storeKey, this->valueOf(found->second), 0, leaseId };
-    // From here on until the answer, the claim may stand.
+    StoreWrite write { found->second.command.storeKey, this->valueOf(found->second), 0, leaseId };
+    // Until the answer arrives, the claim may exist in the store.
     bool mayBeWrittenBefore = std::exchange(found->second.mayBeWritten, true);
     this->store.write(write, [this, id, leaseId, mayBeWrittenBefore](Result<std::uint64_t, StoreError> written) {
         auto answered = this->claims.find(id);
@@ -94,7 +94,7 @@
     auto found = this->claims.find(id);
     if (found == this->claims.end())
         return;
-    this->store.read(found->second.wanted.storeKey, [this, id](Result<StoreEntry, StoreError> entry) {
+    this->store.read(found->second.command.storeKey, [this, id](Result<StoreEntry, StoreError> entry) {
         auto answered = this->claims.find(id);
         if (answered == this->claims.end())
             return;
@@ -110,7 +110,7 @@
 void ClaimWriter::retryLater(std::uint64_t id)
 {
     if (this->claims.contains(id))
-        this->toRetry.push_back(id);
+        this->retryQueue.push_back(id);
 }
 
 void ClaimWriter::handleTimer()
@@ -118,13 +118,13 @@
     Instant now = BootClock::now();
     std::vector<std::uint64_t> overdue;
     for (const auto& [id, claim] : this->claims) {
-        if (claim.wanted.settleBy.hasPassed(now))
+        if (claim.command.settleBy.hasPassed(now))
             overdue.push_back(id);
     }
     for (std::uint64_t id : overdue)
         this->settle(id, this->claims.at(id).mayBeWritten ? ClaimResult::Unsettled : ClaimResult::NotMade);
-    std::vector<std::uint64_t> retried = std::move(this->toRetry);
-    this->toRetry.clear();
+    std::vector<std::uint64_t> retried = std::move(this->retryQueue);
+    this->retryQueue.clear();
     for (std::uint64_t id : retried) {
         if (this->claims.contains(id))
             this->attempt(id);
@@ -136,16 +136,16 @@
 void ClaimWriter::settle(std::uint64_t id, ClaimResult result)
 {
     auto found = this->claims.find(id);
-    ClaimSettled message { found->second.wanted.request, result };
+    ClaimSettled message { found->second.command.request, result };
     this->claims.erase(found);
-    this->settled(std::move(message));
+    this->onSettled(std::move(message));
 }
 
 std::string ClaimWriter::valueOf(const Claim& claim) const
 {
     Json::Value value(Json::objectValue);
     value["incarnation"] = this->self.string();
-    value["request"] = claim.wanted.request.string();
+    value["request"] = claim.command.request.string();
     return writeJson(value);
 }
 
--- a/modules/daemon/claims/ClaimWriter.h
+++ b/modules/daemon/claims/ClaimWriter.h
@@ -19,19 +19,20 @@
 struct StoreError;
 
 /// Creates claims in the store by compare-and-swap. Every claim is settled exactly once, never from within `write`, and
-/// at the latest when its time has passed. A lost answer is settled by reading the claim back: it says whose it is.
+/// at the latest at its `settleBy` deadline. When the answer to a write is lost, the claim is read back: its value
+/// names the owner.
 class ClaimWriter {
 public:
-    using Settled = std::function<void(ClaimSettled)>;
+    using OnSettled = std::function<void(ClaimSettled)>;
 
-    ClaimWriter(event_base&, StoreClient&, IncarnationId self, Settled settled);
+    ClaimWriter(event_base&, StoreClient&, IncarnationId self, OnSettled onSettled);
 
     void write(const WriteClaim&);
 
 private:
     struct Claim {
-        WriteClaim wanted;
-        /// Whether a write has been sent whose answer did not come.
+        WriteClaim command;
+        /// Whether a write was sent that may have created the claim.
         bool mayBeWritten = false;
     };
 
@@ -46,11 +47,11 @@
 
     StoreClient& store;
     IncarnationId self;
-    Settled settled;
+    OnSettled onSettled;
     ClaimLease lease;
     std::uint64_t nextClaim = 1;
     std::map<std::uint64_t, Claim> claims;
-    std::vector<std::uint64_t> toRetry;
+    std::vector<std::uint64_t> retryQueue;
     Timer timer;
 };
 
--- a/modules/daemon/configuration/DocumentKeeper.cpp
+++ b/modules/daemon/configuration/DocumentKeeper.cpp
@@ -8,8 +8,8 @@
 
 namespace Greengage {
 
-DocumentKeeper::DocumentKeeper(Applied applied)
-    : applied(std::move(applied))
+DocumentKeeper::DocumentKeeper(OnApplied onApplied)
+    : onApplied(std::move(onApplied))
 {
 }
 
@@ -32,7 +32,7 @@
     std::string author = record.changes.empty() ? "" : record.changes.front().author;
     writeLog(LogLevel::Info,
         LogLine("document_applied").add("revision", record.revision).add("source", source).add("author", author));
-    this->applied(this->configuration.document);
+    this->onApplied(this->configuration.document);
 }
 
 } // namespace Greengage
--- a/modules/daemon/configuration/DocumentKeeper.h
+++ b/modules/daemon/configuration/DocumentKeeper.h
@@ -6,21 +6,21 @@
 
 namespace Greengage {
 
-/// Keeps the newest document and never goes back to an older one, wherever it comes from.
+/// Holds the newest valid document. Documents arrive from several sources; one that is not newer is ignored.
 class DocumentKeeper {
 public:
-    using Applied = std::function<void(std::shared_ptr<const Document>)>;
+    using OnApplied = std::function<void(std::shared_ptr<const Document>)>;
 
-    explicit DocumentKeeper(Applied applied);
+    /// `onApplied` is called with each document that replaces the one held.
+    explicit DocumentKeeper(OnApplied onApplied);
 
-    /// Takes a record over if it is newer than the one kept and its text is a well-formed document. `source` is for the
-    /// log.
+    /// Applies a record if it is newer than the one held and its text is a valid document. `source` is only logged.
     void offer(const DocumentRecord&, const char* source);
 
     const KnownConfiguration& known() const { return this->configuration; }
 
 private:
-    Applied applied;
+    OnApplied onApplied;
     KnownConfiguration configuration;
 };
 
--- a/modules/daemon/configuration/KnownConfiguration.h
+++ b/modules/daemon/configuration/KnownConfiguration.h
@@ -8,12 +8,13 @@
 
 namespace Greengage {
 
-/// The configuration that this daemon has applied.
+/// The configuration that this daemon has applied, and the newest revision that it knows to be stored.
 struct KnownConfiguration {
-    /// The newest record that has been parsed; nothing before the first.
+    /// The newest record that was parsed; nothing before the first.
     std::optional<DocumentRecord> record;
+    /// The parsed text of `record`; null before the first.
     std::shared_ptr<const Document> document;
-    /// Newest revision that is stored, as far as it has been heard; it may be newer than the record.
+    /// Newest stored revision that this daemon knows of; it may be newer than `record`.
     std::uint64_t newestStored = 0;
 
     std::uint64_t appliedRevision() const { return this->record ? this->record->revision : 0; }
--- a/modules/daemon/configuration/StoreWatcher.cpp
+++ b/modules/daemon/configuration/StoreWatcher.cpp
@@ -19,17 +19,17 @@
     : store(store)
     , prefixes(std::move(prefixes))
     , handlers(std::move(handlers))
-    , retry(base, [this] { this->ask(); })
+    , retry(base, [this] { this->watch(); })
 {
 }
 
-void StoreWatcher::ask()
+void StoreWatcher::watch()
 {
     Instant askedAt = BootClock::now();
     auto answered = [this, askedAt](Result<WatchResult, StoreError> result) {
         if (result.has_value()) {
-            this->take(askedAt, result.value());
-            this->ask();
+            this->handleResult(askedAt, result.value());
+            this->watch();
             return;
         }
         if (this->reachable)
@@ -43,7 +43,7 @@
     this->store.watch(this->prefixes, this->storeRevision, watchWait, answered);
 }
 
-void StoreWatcher::take(Instant askedAt, const WatchResult& result)
+void StoreWatcher::handleResult(Instant askedAt, const WatchResult& result)
 {
     if (!this->reachable)
         writeLog(LogLevel::Info, LogLine("store_reachable").add("store_revision", result.storeRevision));
@@ -51,8 +51,8 @@
     this->storeRevision = result.storeRevision;
     this->newestAskedAt = askedAt;
     for (const StoreEntry& entry : result.entries)
-        this->handlers.changed(entry);
-    this->handlers.confirmed(askedAt);
+        this->handlers.onEntryChanged(entry);
+    this->handlers.onConfirmed(askedAt);
 }
 
 void StoreWatcher::setReachable(bool isReachable)
@@ -60,7 +60,7 @@
     if (this->reachable == isReachable)
         return;
     this->reachable = isReachable;
-    this->handlers.reachabilityChanged();
+    this->handlers.onReachabilityChanged();
 }
 
 } // namespace Greengage
--- a/modules/daemon/configuration/StoreWatcher.h
+++ b/modules/daemon/configuration/StoreWatcher.h
@@ -13,31 +13,32 @@
 class StoreClient;
 struct WatchResult;
 
-/// Keeps one watch on everything in the store that this daemon follows. The watch waits a second at most, so each of
-/// its answers also confirms that nothing newer was stored when it was asked.
+/// Keeps one long-poll watch on all key prefixes in the store that this daemon follows. A watch call waits at most one
+/// second, so each answer also confirms that nothing newer was stored when the call was sent.
 class StoreWatcher {
 public:
     struct Handlers {
-        /// A key has changed, or has been read for the first time; version 0 if it was deleted.
-        std::function<void(const StoreEntry&)> changed;
-        /// The store has answered; every change up to `askedAt` has been passed to `changed`.
-        std::function<void(Instant askedAt)> confirmed;
-        std::function<void()> reachabilityChanged;
+        /// Called with a key that has changed or is read for the first time; its version is 0 if it was deleted.
+        std::function<void(const StoreEntry&)> onEntryChanged;
+        /// Called when the store has answered and every change up to `askedAt` was passed to `onEntryChanged`.
+        std::function<void(Instant askedAt)> onConfirmed;
+        /// Called when `isReachable` has changed.
+        std::function<void()> onReachabilityChanged;
     };
 
     StoreWatcher(event_base&, StoreClient&, std::vector<std::string> prefixes, Handlers);
 
-    void start() { this->ask(); }
+    void start() { this->watch(); }
 
-    /// When the call was sent whose answer is being taken.
+    /// When the call was sent whose answer is being handled or was handled last.
     Instant askedAt() const { return this->newestAskedAt; }
 
-    /// Whether the newest call has been answered. Before the first answer it is not.
+    /// Whether the last watch call that ended was answered; false before the first answer.
     bool isReachable() const { return this->reachable; }
 
 private:
-    void ask();
-    void take(Instant askedAt, const WatchResult&);
+    void watch();
+    void handleResult(Instant askedAt, const WatchResult&);
     void setReachable(bool);
 
     StoreClient& store;
--- a/modules/daemon/daemon.h
+++ b/modules/daemon/daemon.h
@@ -1,5 +1,5 @@
-// Purpose: greengaged, the entry daemon: one loop that fills the inboxes of the fleet's planes, runs their ticks and
-// carries out what they ask for.
+// Purpose: greengaged, the entry daemon: one event loop that queues inputs for the planes of the fleet module, runs
+// their ticks and executes their outputs.
 // Dependencies: core, loop, config, platform, metrics, fleet, mesh, gateway, CLI11.
 #pragma once
 
--- a/modules/daemon/events/LogRateLimiter.cpp
+++ b/modules/daemon/events/LogRateLimiter.cpp
@@ -1,4 +1,4 @@
-#include <daemon/events/RepeatedEvent.h>
+#include <daemon/events/LogRateLimiter.h>
 
 #include <utility>
 
@@ -6,19 +6,19 @@
 
 namespace {
 
-constexpr Seconds quietPeriod { 1 };
+constexpr Seconds minInterval { 1 };
 
 } // namespace
 
-std::optional<std::uint64_t> RepeatedEvent::admit(const std::string& kind, Instant now)
+std::optional<std::uint64_t> LogRateLimiter::admit(const std::string& kind, Instant now)
 {
     Entry& entry = this->entries[kind];
-    if (!entry.quietUntil.hasPassed(now)) {
-        entry.leftOut += 1;
+    if (!entry.suppressUntil.hasPassed(now)) {
+        entry.suppressed += 1;
         return std::nullopt;
     }
-    entry.quietUntil = Deadline::after(now, quietPeriod);
-    return std::exchange(entry.leftOut, 0);
+    entry.suppressUntil = Deadline::after(now, minInterval);
+    return std::exchange(entry.suppressed, 0);
 }
 
 } // namespace Greengage
--- a/modules/daemon/events/LogRateLimiter.h
+++ b/modules/daemon/events/LogRateLimiter.h
@@ -9,17 +9,18 @@
 
 namespace Greengage {
 
-/// Keeps frequent events from filling the log: of each kind one a second is written, and it says how many were left
-/// out before it.
-class RepeatedEvent {
+/// Limits frequent log events to one a second of each kind. Each event that is logged carries the number of events
+/// suppressed before it.
+class LogRateLimiter {
 public:
-    /// Whether an event of this kind is to be written now; if so, the number of those left out since the last one.
+    /// Whether to log an event of this kind now: if so, the number of events suppressed since the last one; otherwise
+    /// nothing.
     std::optional<std::uint64_t> admit(const std::string& kind, Instant now);
 
 private:
     struct Entry {
-        Deadline quietUntil;
-        std::uint64_t leftOut = 0;
+        Deadline suppressUntil;
+        std::uint64_t suppressed = 0;
     };
 
     std::map<std::string, Entry> entries;
--- a/modules/daemon/main.cpp
+++ b/modules/daemon/main.cpp
@@ -44,7 +44,7 @@
     bool checkOnly = false;
     app.add_option("--settings", settingsFile, "INI file with the daemon's settings")->required();
     app.add_flag("--check", checkOnly, "Only check the settings");
-    app.add_option("--log-level", levelName, "debug, info, warning or error; goes before the settings' level");
+    app.add_option("--log-level", levelName, "debug, info, warning or error; overrides the level in the settings");
     CLI11_PARSE(app, argumentCount, arguments);
 
     std::optional<Greengage::LogLevel> level = Greengage::enumFromName<Greengage::LogLevel>(levelName);
--- a/modules/daemon/maintenance/MaintenanceDriver.cpp
+++ b/modules/daemon/maintenance/MaintenanceDriver.cpp
@@ -23,7 +23,8 @@
     : store(store)
     , handlers(std::move(handlers))
     , plane(std::move(self))
-    , mover(base, store, configuration, [this](const DocumentRecord& record) { this->handlers.documentStored(record); })
+    , mover(
+          base, store, configuration, [this](const DocumentRecord& record) { this->handlers.onDocumentStored(record); })
     , timer(base, [this] { this->tick(); })
 {
     this->timer.schedule(tickInterval);
@@ -37,15 +38,15 @@
     this->tickIsDue = true;
 }
 
-void MaintenanceDriver::take(const StoreEntry& entry, Instant askedAt)
+void MaintenanceDriver::handleLedgerEntry(const StoreEntry& entry, Instant askedAt)
 {
     this->push(LedgerRead { askedAt, entry.version, entry.value });
 }
 
-void MaintenanceDriver::command(const WaveId& wave, WaveVerb verb, std::string commandId, Settled settled)
+void MaintenanceDriver::command(const WaveId& wave, WaveVerb verb, std::string commandId, OnSettled onSettled)
 {
-    if (!this->commands.emplace(commandId, settled).second) {
-        settled(CommandOutcome::Unknown);
+    if (!this->commands.emplace(commandId, onSettled).second) {
+        onSettled(CommandOutcome::Unknown);
         return;
     }
     writeLog(LogLevel::Info,
@@ -59,18 +60,18 @@
     std::vector<MaintenanceInput> inputs = std::move(this->inbox);
     this->inbox.clear();
     for (const MaintenanceOutput& output : this->plane.tick(BootClock::now(), std::move(inputs)))
-        this->carryOut(output);
-    if (this->ledger().revision != this->shownRevision) {
-        this->shownRevision = this->ledger().revision;
-        this->handlers.ledgerChanged(this->ledger());
+        this->execute(output);
+    if (this->ledger().revision != this->reportedRevision) {
+        this->reportedRevision = this->ledger().revision;
+        this->handlers.onLedgerChanged(this->ledger());
     }
     if (!this->tickIsDue)
         this->timer.schedule(tickInterval);
 }
 
-void MaintenanceDriver::carryOut(const MaintenanceOutput& output)
+void MaintenanceDriver::execute(const MaintenanceOutput& output)
 {
-    struct Carrier {
+    struct Executor {
         MaintenanceDriver& driver;
         void operator()(const ReadLedger&) const { this->driver.readLedger(); }
         void operator()(const UpdateLedger& update) const { this->driver.updateLedger(update); }
@@ -90,7 +91,7 @@
             writeLog(LogLevel::Error, LogLine("ledger_unreadable").add("detail", unreadable.detail));
         }
     };
-    std::visit(Carrier { *this }, output);
+    std::visit(Executor { *this }, output);
 }
 
 void MaintenanceDriver::readLedger()
@@ -132,7 +133,7 @@
     auto found = this->commands.find(settled.command);
     if (found == this->commands.end())
         return;
-    Settled callback = std::move(found->second);
+    OnSettled callback = std::move(found->second);
     this->commands.erase(found);
     callback(settled.outcome);
 }
--- a/modules/daemon/maintenance/MaintenanceDriver.h
+++ b/modules/daemon/maintenance/MaintenanceDriver.h
@@ -17,33 +17,35 @@
 struct StoreEntry;
 struct StoreError;
 
-/// Runs the maintenance plane: gathers its inputs, ticks it and carries out what it asks for through the store, the
+/// Runs the maintenance plane: queues its inputs, runs its ticks and executes their outputs through the store, the
 /// platform and the gateway.
 class MaintenanceDriver {
 public:
     struct Handlers {
+        /// Asks an endpoint which attempts it runs.
         std::function<void(const AskRunning&)> askRunning;
-        /// The ledger has changed, and with it which VMs get no new work.
-        std::function<void(const MaintenanceLedger&)> ledgerChanged;
-        std::function<void(const DocumentRecord&)> documentStored;
+        /// Called when the ledger has changed, which decides the VMs that get no new work.
+        std::function<void(const MaintenanceLedger&)> onLedgerChanged;
+        /// Called with a record that holds a moved VM and has been stored.
+        std::function<void(const DocumentRecord&)> onDocumentStored;
     };
-    using Settled = std::function<void(CommandOutcome)>;
+    using OnSettled = std::function<void(CommandOutcome)>;
 
     MaintenanceDriver(event_base&, StoreClient&, const KnownConfiguration&, IncarnationId self, Handlers);
 
     void push(MaintenanceInput);
 
-    /// The watch has brought the ledger's value.
-    void take(const StoreEntry&, Instant askedAt);
+    /// Handles a value of the ledger that the store watch, sent at `askedAt`, returned.
+    void handleLedgerEntry(const StoreEntry&, Instant askedAt);
 
-    /// Gives an operator's command; `settled` is called once.
-    void command(const WaveId&, WaveVerb, std::string commandId, Settled settled);
+    /// Issues an operator's command; `onSettled` is called once.
+    void command(const WaveId&, WaveVerb, std::string commandId, OnSettled onSettled);
 
     const MaintenanceLedger& ledger() const { return this->plane.ledger(); }
 
 private:
     void tick();
-    void carryOut(const MaintenanceOutput&);
+    void execute(const MaintenanceOutput&);
     void readLedger();
     void updateLedger(const UpdateLedger&);
     void reboot(const RebootVm&);
@@ -54,8 +56,9 @@
     MaintenancePlane plane;
     VmMover mover;
     std::vector<MaintenanceInput> inbox;
-    std::map<std::string, Settled> commands;
-    std::uint64_t shownRevision = 0;
+    /// Callbacks of unsettled commands, by command id.
+    std::map<std::string, OnSettled> commands;
+    std::uint64_t reportedRevision = 0;
     bool tickIsDue = false;
     Timer timer;
 };
--- a/modules/daemon/maintenance/PoolEdit.cpp
+++ b/modules/daemon/maintenance/PoolEdit.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr const char* blanks = " \t\r";
+constexpr const char* whitespace = " \t\r";
 
 struct LineRange {
     std::size_t begin = 0;
@@ -34,16 +34,17 @@
     return text;
 }
 
-bool isHeader(const std::string& line) { return line.find_first_not_of(blanks) == line.find('['); }
+bool isHeader(const std::string& line) { return line.find_first_not_of(whitespace) == line.find('['); }
 
 bool isContinuation(const std::string& line)
 {
-    return !line.empty() && (line[0] == ' ' || line[0] == '\t') && line.find_first_not_of(blanks) != std::string::npos;
+    return !line.empty() && (line[0] == ' ' || line[0] == '\t')
+        && line.find_first_not_of(whitespace) != std::string::npos;
 }
 
 std::string headerOf(const PoolId& pool) { return "[pool " + pool.string() + "]"; }
 
-/// The line of the pool's `vms` key and those that continue it; empty if there is none.
+/// The line of the pool's `vms` key and its continuation lines; an empty range if the pool has none.
 LineRange findVms(const std::vector<std::string>& lines, const PoolId& pool)
 {
     auto header = std::find(lines.begin(), lines.end(), headerOf(pool));
@@ -59,7 +60,7 @@
     return {};
 }
 
-/// Takes one word out of a line; returns whether it was there.
+/// Removes a word from a line; returns whether the line contained it.
 bool removeWord(std::string& line, const std::string& word)
 {
     constexpr const char* separators = " \t\r,=";
@@ -77,7 +78,7 @@
     return false;
 }
 
-/// Puts a VM at the end of the pool's `vms`; returns whether the pool was found.
+/// Appends a VM to the pool's `vms`; returns whether the pool was found.
 bool appendVm(std::vector<std::string>& lines, const PoolId& pool, const VmId& vm)
 {
     LineRange vms = findVms(lines, pool);
@@ -92,7 +93,7 @@
     return true;
 }
 
-/// Whether a pool of one document holds the VMs of another's, with one added or taken away.
+/// Whether two lists hold the same VMs in any order.
 bool sameVms(std::vector<VmId> left, std::vector<VmId> right)
 {
     std::sort(left.begin(), left.end());
@@ -100,6 +101,7 @@
     return left == right;
 }
 
+/// Whether the pools of the two documents differ only in that `vm` moved from one to the other.
 bool isExactMove(const Document& before, const Document& after, const VmId& vm, const PoolId& from, const PoolId& to)
 {
     if (before.pools.size() != after.pools.size())
@@ -125,7 +127,7 @@
     bool removed = false;
     for (std::size_t index = source.begin; index < source.end && !removed; ++index) {
         removed = removeWord(lines[index], vm.string());
-        if (removed && index > source.begin && lines[index].find_first_not_of(blanks) == std::string::npos)
+        if (removed && index > source.begin && lines[index].find_first_not_of(whitespace) == std::string::npos)
             lines.erase(lines.begin() + static_cast<std::ptrdiff_t>(index));
     }
     if (!removed || !appendVm(lines, to, vm))
--- a/modules/daemon/maintenance/PoolEdit.h
+++ b/modules/daemon/maintenance/PoolEdit.h
@@ -7,8 +7,8 @@
 
 namespace Greengage {
 
-/// The text of a document with one VM taken out of one pool's `vms` and put at the end of another's; comments and
-/// layout stay. Nothing if the text cannot be edited so that exactly this changes.
+/// Returns the text of a document with one VM removed from the `vms` of pool `from` and appended to those of pool `to`;
+/// comments and layout are preserved. Returns nothing if the text cannot be edited so that only this changes.
 std::optional<std::string> moveVmInText(const std::string& text, const VmId&, const PoolId& from, const PoolId& to);
 
 } // namespace Greengage
--- a/modules/daemon/maintenance/VmMover.cpp
+++ b/modules/daemon/maintenance/VmMover.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::size_t changeIdDigits = 32;
 
-/// The same for every daemon that carries out the same move, so that it is made once.
+/// The change id depends only on the move, so a move that several daemons submit is stored once.
 std::string changeIdOf(const MoveVm& move)
 {
     std::string text = move.vm.string() + " " + move.from.string() + " " + move.to.string() + " "
@@ -23,11 +23,11 @@
 
 } // namespace
 
-VmMover::VmMover(event_base& base, StoreClient& store, const KnownConfiguration& configuration, Stored stored)
+VmMover::VmMover(event_base& base, StoreClient& store, const KnownConfiguration& configuration, OnStored onStored)
     : base(base)
     , store(store)
     , configuration(configuration)
-    , stored(std::move(stored))
+    , onStored(std::move(onStored))
 {
 }
 
@@ -48,14 +48,14 @@
     }
     DocumentSubmission submission { changeIdOf(move), "maintenance", move.baseRevision, std::move(*text) };
     this->submitter = std::make_unique<DocumentSubmitter>(this->base, this->store, std::move(submission),
-        [this, move](const SubmissionEnd& end) { this->handleEnd(move, end); });
+        [this, move](const SubmissionOutcome& outcome) { this->handleOutcome(move, outcome); });
     this->submitter->requireNewestBase();
     this->submitter->start();
 }
 
-void VmMover::handleEnd(const MoveVm& move, const SubmissionEnd& end)
+void VmMover::handleOutcome(const MoveVm& move, const SubmissionOutcome& outcome)
 {
-    const auto* record = std::get_if<DocumentRecord>(&end);
+    const auto* record = std::get_if<DocumentRecord>(&outcome);
     if (!record)
         return;
     writeLog(LogLevel::Info,
@@ -64,7 +64,7 @@
             .add("from", move.from.string())
             .add("to", move.to.string())
             .add("revision", record->revision));
-    this->stored(*record);
+    this->onStored(*record);
 }
 
 } // namespace Greengage
--- a/modules/daemon/maintenance/VmMover.h
+++ b/modules/daemon/maintenance/VmMover.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <daemon/admin/DocumentSubmitter.h>
-#include <daemon/events/RepeatedEvent.h>
+#include <daemon/events/LogRateLimiter.h>
 #include <fleet/maintenance/messages/MoveVm.h>
 
 #include <functional>
@@ -14,25 +14,25 @@
 class StoreClient;
 struct KnownConfiguration;
 
-/// Carries out moves of VMs between pools as changes of the document, one at a time. A move that cannot be made against
-/// its base revision is dropped; the maintenance plane asks anew for the newer document.
+/// Moves VMs between pools by submitting changes of the document, one at a time. A move that does not apply to its base
+/// revision is dropped; the maintenance plane requests it again for the newer document.
 class VmMover {
 public:
-    using Stored = std::function<void(const DocumentRecord&)>;
+    using OnStored = std::function<void(const DocumentRecord&)>;
 
-    VmMover(event_base&, StoreClient&, const KnownConfiguration&, Stored stored);
+    VmMover(event_base&, StoreClient&, const KnownConfiguration&, OnStored onStored);
 
     void move(const MoveVm&);
 
 private:
-    void handleEnd(const MoveVm&, const SubmissionEnd&);
+    void handleOutcome(const MoveVm&, const SubmissionOutcome&);
 
     event_base& base;
     StoreClient& store;
     const KnownConfiguration& configuration;
-    Stored stored;
+    OnStored onStored;
     std::unique_ptr<DocumentSubmitter> submitter;
-    RepeatedEvent log;
+    LogRateLimiter log;
 };
 
 } // namespace Greengage
--- a/modules/daemon/membership/MemberCodec.cpp
+++ b/modules/daemon/membership/MemberCodec.cpp
@@ -35,7 +35,7 @@
         return error;
     constexpr int maxPort = std::numeric_limits<std::uint16_t>::max();
     if (meshPort < 1 || meshPort > maxPort || adminPort < 0 || adminPort > maxPort)
-        return CodecError { "a port is out of range" };
+        return CodecError { "meshPort or adminPort is out of range" };
     record.mesh.port = static_cast<std::uint16_t>(meshPort);
     record.adminPort = static_cast<std::uint16_t>(adminPort);
     return record;
--- a/modules/daemon/membership/MemberCodec.h
+++ b/modules/daemon/membership/MemberCodec.h
@@ -8,7 +8,7 @@
 
 namespace Greengage {
 
-/// Turns member records into the text that the store keeps, and back.
+/// Encodes member records as the JSON text kept in the store, and decodes them.
 class MemberCodec {
 public:
     static std::string encode(const MemberRecord&);
--- a/modules/daemon/membership/MemberRecord.h
+++ b/modules/daemon/membership/MemberRecord.h
@@ -7,12 +7,12 @@
 
 namespace Greengage {
 
-/// What a daemon writes into the store about itself.
+/// The record under which a daemon registers itself in the store.
 struct MemberRecord {
     DaemonId daemon;
     IncarnationId incarnation;
     ZoneId zone;
-    /// Where other daemons reach it.
+    /// The address at which other daemons connect to it.
     SocketAddress mesh;
     std::uint16_t adminPort = 0;
 };
--- a/modules/daemon/membership/MemberTable.cpp
+++ b/modules/daemon/membership/MemberTable.cpp
@@ -7,7 +7,7 @@
 
 namespace Greengage {
 
-bool MemberTable::take(const StoreEntry& entry)
+bool MemberTable::apply(const StoreEntry& entry)
 {
     auto found = this->byKey.find(entry.key);
     if (entry.version == 0) {
--- a/modules/daemon/membership/MemberTable.h
+++ b/modules/daemon/membership/MemberTable.h
@@ -10,13 +10,14 @@
 
 struct StoreEntry;
 
-/// The daemons that hold a lease, as the store tells. In an outage of the store it stays as last read.
+/// The daemons registered in the store, each under a lease. While the store is unreachable, the table keeps its last
+/// contents.
 class MemberTable {
 public:
     static constexpr const char* prefix = "members/";
 
-    /// Takes a member's key. Returns whether the table has changed.
-    bool take(const StoreEntry&);
+    /// Applies a new, changed or deleted member key. Returns whether the table has changed.
+    bool apply(const StoreEntry&);
 
     const std::map<std::string, MemberRecord>& members() const { return this->byKey; }
 
--- a/modules/daemon/membership/Registration.cpp
+++ b/modules/daemon/membership/Registration.cpp
@@ -27,7 +27,7 @@
 
 void Registration::step()
 {
-    if (this->withdrawn)
+    if (this->deregistered)
         return;
     if (this->leaseId.empty())
         this->grant();
@@ -42,7 +42,7 @@
     this->store.grantLease(leaseTimeToLive, [this](Result<std::string, StoreError> lease) {
         if (lease.has_value())
             this->leaseId = lease.value();
-        this->later(lease.has_value() ? Milliseconds::zero() : retryDelay);
+        this->scheduleStep(lease.has_value() ? Milliseconds::zero() : retryDelay);
     });
 }
 
@@ -53,17 +53,17 @@
         if (written.has_value()) {
             this->version = written.value();
             writeLog(LogLevel::Info, LogLine("member_registered").add("incarnation", this->self.incarnation.string()));
-            this->later(renewInterval);
+            this->scheduleStep(renewInterval);
             return;
         }
         switch (written.error().code) {
         case StoreErrorCode::LeaseLapsed:
             this->leaseId.clear();
-            this->later(Milliseconds::zero());
+            this->scheduleStep(Milliseconds::zero());
             return;
         case StoreErrorCode::NotSent:
         case StoreErrorCode::NotFound:
-            this->later(retryDelay);
+            this->scheduleStep(retryDelay);
             return;
         case StoreErrorCode::Conflict:
         case StoreErrorCode::AnswerLost:
@@ -74,13 +74,14 @@
     });
 }
 
-/// The key may stand from a write whose answer was lost; only this incarnation writes it.
+/// A write whose answer was lost may have stored the key. Only this incarnation writes it, so any value found is its
+/// own.
 void Registration::readBack()
 {
     this->store.read(this->key, [this](Result<StoreEntry, StoreError> entry) {
         if (entry.has_value())
             this->version = entry.value().version;
-        this->later(entry.has_value() ? renewInterval : retryDelay);
+        this->scheduleStep(entry.has_value() ? renewInterval : retryDelay);
     });
 }
 
@@ -88,22 +89,22 @@
 {
     this->store.renewLease(this->leaseId, [this](Result<bool, StoreError> renewed) {
         if (renewed.has_value()) {
-            this->later(renewInterval);
+            this->scheduleStep(renewInterval);
             return;
         }
-        bool hasLapsed = renewed.error().code == StoreErrorCode::LeaseLapsed;
-        if (hasLapsed) {
-            writeLog(LogLevel::Warning, LogLine("member_lease_lapsed").add("lease", this->leaseId));
+        bool hasExpired = renewed.error().code == StoreErrorCode::LeaseLapsed;
+        if (hasExpired) {
+            writeLog(LogLevel::Warning, LogLine("member_lease_expired").add("lease", this->leaseId));
             this->leaseId.clear();
             this->version = 0;
         }
-        this->later(hasLapsed ? Milliseconds::zero() : retryDelay);
+        this->scheduleStep(hasExpired ? Milliseconds::zero() : retryDelay);
     });
 }
 
-void Registration::withdraw(std::function<void()> done)
+void Registration::deregister(std::function<void()> done)
 {
-    this->withdrawn = true;
+    this->deregistered = true;
     this->timer.cancel();
     if (this->version == 0) {
         done();
--- a/modules/daemon/membership/Registration.h
+++ b/modules/daemon/membership/Registration.h
@@ -11,15 +11,15 @@
 
 class StoreClient;
 
-/// Keeps this daemon's member key in the store under a lease, and writes it anew when the lease has lapsed.
+/// Keeps this daemon's member key in the store under a lease, and writes it again after the lease has expired.
 class Registration {
 public:
     Registration(event_base&, StoreClient&, MemberRecord self);
 
     void start() { this->step(); }
 
-    /// Deletes the key; `done` is called when the store has answered or could not be reached.
-    void withdraw(std::function<void()> done);
+    /// Deletes the key; `done` is called when the store has answered or is unreachable.
+    void deregister(std::function<void()> done);
 
 private:
     void step();
@@ -27,15 +27,15 @@
     void write();
     void readBack();
     void renew();
-    void later(Milliseconds delay) { this->timer.schedule(delay); }
+    void scheduleStep(Milliseconds delay) { this->timer.schedule(delay); }
 
     StoreClient& store;
     MemberRecord self;
     std::string key;
     std::string leaseId;
-    /// Version of our key; 0 while it is not known to stand.
+    /// Version of the stored key; 0 while the key is not known to exist.
     std::uint64_t version = 0;
-    bool withdrawn = false;
+    bool deregistered = false;
     Timer timer;
 };
 
--- a/modules/daemon/metrics/DaemonGauges.cpp
+++ b/modules/daemon/metrics/DaemonGauges.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// Raises a counter to a total that is counted elsewhere.
-void raise(Counter& counter, std::uint64_t total)
+/// Raises a counter to a total that another object counts.
+void raiseTo(Counter& counter, std::uint64_t total)
 {
     if (total > counter.value())
         counter.add(total - counter.value());
@@ -39,12 +39,12 @@
     registry.gauge("greengage_caller_connections", "Open connections of callers.").set(this->callerConnections);
     constexpr std::string_view meshName = "greengage_mesh_bytes_total";
     constexpr std::string_view meshHelp = "Bytes exchanged with other daemons, by direction.";
-    raise(registry.counter(meshName, meshHelp, { { "direction", "sent" } }), this->meshBytesSent);
-    raise(registry.counter(meshName, meshHelp, { { "direction", "received" } }), this->meshBytesReceived);
-    raise(registry.counter("greengage_ticks_total", "Ticks of the request plane."), this->ticks);
+    raiseTo(registry.counter(meshName, meshHelp, { { "direction", "sent" } }), this->meshBytesSent);
+    raiseTo(registry.counter(meshName, meshHelp, { { "direction", "received" } }), this->meshBytesReceived);
+    raiseTo(registry.counter("greengage_ticks_total", "Ticks of the request plane."), this->ticks);
     for (const StoreCallCount& calls : this->storeCalls)
-        raise(registry.counter(
-                  "greengage_store_calls_total", "Calls to the platform's store, by kind.", { { "kind", calls.kind } }),
+        raiseTo(registry.counter("greengage_store_calls_total", "Calls to the platform's store, by kind.",
+                    { { "kind", calls.kind } }),
             calls.count);
 }
 
--- a/modules/daemon/metrics/DaemonGauges.h
+++ b/modules/daemon/metrics/DaemonGauges.h
@@ -9,7 +9,7 @@
 
 class MetricsRegistry;
 
-/// Quantities of the daemon that are read when a metrics page is asked for.
+/// Values of the daemon that are collected when its metrics page is requested.
 struct DaemonGauges {
     std::uint64_t appliedRevision = 0;
     bool storeReachable = false;
@@ -19,7 +19,7 @@
     std::uint64_t ticks = 0;
     std::vector<StoreCallCount> storeCalls;
 
-    /// Writes the quantities and the process's usage into the registry.
+    /// Writes these values and the resource usage of the process to the registry.
     void publish(MetricsRegistry&) const;
 };
 
--- a/modules/daemon/metrics/DemandGauges.cpp
+++ b/modules/daemon/metrics/DemandGauges.cpp
@@ -7,20 +7,20 @@
 
 void DemandGauges::publish(MetricsRegistry& registry, const std::vector<TeamDemand>& demands)
 {
-    for (Gauge* gauge : this->shown)
+    for (Gauge* gauge : this->gauges)
         gauge->set(0);
-    this->shown.clear();
+    this->gauges.clear();
     for (const TeamDemand& demand : demands) {
         std::vector<Label> labels { { "queue", demand.queue.string() }, { "team", demand.team.string() } };
-        this->show(registry.gauge("greengage_running", "Requests at endpoints.", labels), demand.running);
-        this->show(registry.gauge("greengage_waiting", "Requests that wait.", labels), demand.waiting);
+        this->set(registry.gauge("greengage_running", "Requests at endpoints.", labels), demand.running);
+        this->set(registry.gauge("greengage_waiting", "Requests that wait.", labels), demand.waiting);
     }
 }
 
-void DemandGauges::show(Gauge& gauge, int amount)
+void DemandGauges::set(Gauge& gauge, int amount)
 {
     gauge.set(amount);
-    this->shown.push_back(&gauge);
+    this->gauges.push_back(&gauge);
 }
 
 } // namespace Greengage
--- a/modules/daemon/metrics/DemandGauges.h
+++ b/modules/daemon/metrics/DemandGauges.h
@@ -8,16 +8,16 @@
 class MetricsRegistry;
 struct TeamDemand;
 
-/// Shows how many requests run and wait of each queue and team. A series that has been shown goes back to 0.
+/// Publishes how many requests of each queue and team run and wait. A series without requests is set back to 0.
 class DemandGauges {
 public:
     void publish(MetricsRegistry&, const std::vector<TeamDemand>&);
 
 private:
-    void show(Gauge&, int amount);
+    void set(Gauge&, int amount);
 
-    /// The gauges that stand above 0; they belong to the registry.
-    std::vector<Gauge*> shown;
+    /// The gauges set by the last `publish`; the registry owns them.
+    std::vector<Gauge*> gauges;
 };
 
 } // namespace Greengage
--- a/modules/daemon/metrics/ProcessUsage.cpp
+++ b/modules/daemon/metrics/ProcessUsage.cpp
@@ -19,12 +19,12 @@
 double countDescriptors()
 {
     constexpr int ownAndParentEntries = 2;
-    std::unique_ptr<DIR, int (*)(DIR*)> folder(opendir("/proc/self/fd"), closedir);
+    std::unique_ptr<DIR, int (*)(DIR*)> directory(opendir("/proc/self/fd"), closedir);
     int entries = 0;
-    while (folder && readdir(folder.get())) // NOLINT(concurrency-mt-unsafe): one thread
+    while (directory && readdir(directory.get())) // NOLINT(concurrency-mt-unsafe): single-threaded process
         entries += 1;
-    // The folder itself is open while it is counted.
-    return folder ? entries - ownAndParentEntries - 1 : 0;
+    // The descriptor that lists the directory is itself counted.
+    return directory ? entries - ownAndParentEntries - 1 : 0;
 }
 
 } // namespace
--- a/modules/daemon/metrics/ProcessUsage.h
+++ b/modules/daemon/metrics/ProcessUsage.h
@@ -2,7 +2,7 @@
 
 namespace Greengage {
 
-/// What the kernel says that this process uses.
+/// The resource usage of this process as the kernel reports it.
 struct ProcessUsage {
     double cpuSeconds = 0;
     /// Resident bytes, shared libraries included.
@@ -11,7 +11,7 @@
     double privateBytes = 0;
     double openDescriptors = 0;
 
-    /// Reads the present values; what cannot be read is 0.
+    /// Reads the current values; those that cannot be read are 0.
     static ProcessUsage read();
 };
 
--- a/modules/daemon/metrics/RequestObserver.cpp
+++ b/modules/daemon/metrics/RequestObserver.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Whether an ended request counts for the service's objective. What only the caller can mend does not.
+/// Whether a finished request counts towards the service's objective. Failures that only the caller can fix do not.
 bool countsForObjective(OutcomeReason reason)
 {
     switch (reason) {
@@ -67,7 +67,7 @@
     if (answer.outcome == Outcome::Answered)
         return;
     std::string kind = text(nameOf(answer.outcome)) + " " + text(nameOf(answer.reason));
-    if (auto leftOut = this->log.admit(kind, now))
+    if (auto suppressed = this->log.admit(kind, now))
         writeLog(LogLevel::Warning,
             LogLine("request_not_answered")
                 .add("request", answer.request.string())
@@ -75,7 +75,7 @@
                 .add("team", answer.team.string())
                 .add("outcome", nameOf(answer.outcome))
                 .add("reason", nameOf(answer.reason))
-                .add("left_out", *leftOut));
+                .add("suppressed", *suppressed));
 }
 
 void RequestObserver::recordBurn(const AnswerCaller& answer, const Queue& queue, Microseconds latency, Instant now)
@@ -95,9 +95,9 @@
         .counter(
             "greengage_refusals_total", "Requests refused for their form.", { { "reason", text(nameOf(refusal)) } })
         .add();
-    if (auto leftOut = this->log.admit("refused " + text(nameOf(refusal)), BootClock::now()))
-        writeLog(
-            LogLevel::Warning, LogLine("request_refused").add("reason", nameOf(refusal)).add("left_out", *leftOut));
+    if (auto suppressed = this->log.admit("refused " + text(nameOf(refusal)), BootClock::now()))
+        writeLog(LogLevel::Warning,
+            LogLine("request_refused").add("reason", nameOf(refusal)).add("suppressed", *suppressed));
 }
 
 void RequestObserver::attemptEnded(const AttemptEnded& ended)
@@ -108,14 +108,14 @@
         .add();
     if (ended.result == AttemptResult::Answered)
         return;
-    if (auto leftOut = this->log.admit("attempt " + text(nameOf(ended.result)), BootClock::now()))
+    if (auto suppressed = this->log.admit("attempt " + text(nameOf(ended.result)), BootClock::now()))
         writeLog(LogLevel::Warning,
             LogLine("attempt_failed")
                 .add("request", ended.request.string())
                 .add("attempt", ended.attempt)
                 .add("endpoint", ended.endpoint.string())
                 .add("result", nameOf(ended.result))
-                .add("left_out", *leftOut));
+                .add("suppressed", *suppressed));
 }
 
 } // namespace Greengage
--- a/modules/daemon/metrics/RequestObserver.h
+++ b/modules/daemon/metrics/RequestObserver.h
@@ -2,7 +2,7 @@
 
 #include <config/model/Document.h>
 #include <core/time/Instant.h>
-#include <daemon/events/RepeatedEvent.h>
+#include <daemon/events/LogRateLimiter.h>
 #include <gateway/callers/CallerRefusal.h>
 #include <metrics/burn/BurnTable.h>
 #include <metrics/registry/MetricsRegistry.h>
@@ -15,8 +15,8 @@
 struct AnswerCaller;
 struct AttemptEnded;
 
-/// Counts, times and logs what becomes of requests. Names that callers make up are not kept, so that they cannot make
-/// the metrics grow.
+/// Counts, times and logs the outcomes of requests. Queue names that the document does not define are not used as
+/// labels, so that callers cannot create metric series without bound.
 class RequestObserver {
 public:
     explicit RequestObserver(MetricsRegistry&);
@@ -35,7 +35,7 @@
     MetricsRegistry& registry;
     std::shared_ptr<const Document> document;
     BurnTable burn;
-    RepeatedEvent log;
+    LogRateLimiter log;
 };
 
 } // namespace Greengage
--- a/modules/daemon/peers/PeerExchange.cpp
+++ b/modules/daemon/peers/PeerExchange.cpp
@@ -17,7 +17,7 @@
     : base(base)
     , sourceAddress(std::move(sourceAddress))
     , handlers(std::move(handlers))
-    , timer(base, [this] { this->round(); })
+    , timer(base, [this] { this->exchangeWithAll(); })
 {
     this->timer.schedule(Microseconds::zero());
 }
@@ -27,9 +27,9 @@
     std::erase_if(this->clients, [this, &peers](const auto& entry) {
         if (std::find(peers.begin(), peers.end(), entry.first) != peers.end())
             return false;
-        this->formerlySent += entry.second->bytesSent();
-        this->formerlyReceived += entry.second->bytesReceived();
-        // A fetch under way on this connection will not call back.
+        this->removedClientsSent += entry.second->bytesSent();
+        this->removedClientsReceived += entry.second->bytesReceived();
+        // The removed client drops its calls without calling back, so a fetch on it would never reset the flag.
         this->fetching = false;
         return true;
     });
@@ -42,10 +42,10 @@
 
 void PeerExchange::exchangeNow() { this->timer.schedule(Microseconds::zero()); }
 
-void PeerExchange::round()
+void PeerExchange::exchangeWithAll()
 {
     this->timer.schedule(exchangeInterval);
-    this->handlers.roundBegins();
+    this->handlers.onExchangeStarting();
     for (auto& [address, client] : this->clients)
         this->exchange(*client);
 }
@@ -57,7 +57,7 @@
         if (!answer.has_value())
             return;
         bool isNewer = answer.value().appliedRevision > this->handlers.appliedRevision();
-        this->handlers.heard(std::move(answer.value()), askedAt);
+        this->handlers.onStateReceived(std::move(answer.value()), askedAt);
         if (isNewer && !this->fetching)
             this->fetch(client);
     });
@@ -69,13 +69,13 @@
     client.fetchDocument(this->handlers.appliedRevision() + 1, [this](Result<DocumentRecord, MeshError> record) {
         this->fetching = false;
         if (record.has_value())
-            this->handlers.fetched(record.value());
+            this->handlers.onDocumentFetched(record.value());
     });
 }
 
 std::uint64_t PeerExchange::bytesSent() const
 {
-    std::uint64_t sum = this->formerlySent;
+    std::uint64_t sum = this->removedClientsSent;
     for (const auto& [address, client] : this->clients)
         sum += client->bytesSent();
     return sum;
@@ -83,7 +83,7 @@
 
 std::uint64_t PeerExchange::bytesReceived() const
 {
-    std::uint64_t sum = this->formerlyReceived;
+    std::uint64_t sum = this->removedClientsReceived;
     for (const auto& [address, client] : this->clients)
         sum += client->bytesReceived();
     return sum;
--- a/modules/daemon/peers/PeerExchange.h
+++ b/modules/daemon/peers/PeerExchange.h
@@ -18,24 +18,26 @@
 
 struct DocumentRecord;
 
-/// Exchanges states with the other daemons twice a second, and fetches the document from one that has a newer revision.
+/// Reads the states of the other daemons twice a second, and fetches the document from a daemon with a newer revision.
 class PeerExchange {
 public:
     struct Handlers {
-        /// Called before the peers are asked.
-        std::function<void()> roundBegins;
-        /// A peer has answered; the exchange began at `askedAt`.
-        std::function<void(PeerState, Instant askedAt)> heard;
+        /// Called before the states of all peers are requested.
+        std::function<void()> onExchangeStarting;
+        /// Called with the state of a peer that was requested at `askedAt`.
+        std::function<void(PeerState, Instant askedAt)> onStateReceived;
+        /// Returns the revision of the document that this daemon has applied.
         std::function<std::uint64_t()> appliedRevision;
-        std::function<void(const DocumentRecord&)> fetched;
+        /// Called with a document that was fetched from a peer.
+        std::function<void(const DocumentRecord&)> onDocumentFetched;
     };
 
     PeerExchange(event_base&, std::string sourceAddress, Handlers);
 
-    /// Sets whom to talk to. Connections to peers that stay are kept.
+    /// Sets the peers to exchange states with. Connections to peers that stay in the list are kept open.
     void setPeers(const std::vector<SocketAddress>&);
 
-    /// Exchanges with every peer now, since something has changed that they should know soon.
+    /// Reads the states of all peers now instead of at the next interval.
     void exchangeNow();
 
     std::uint64_t bytesSent() const;
@@ -49,7 +51,7 @@
         }
     };
 
-    void round();
+    void exchangeWithAll();
     void exchange(MeshClient&);
     void fetch(MeshClient&);
 
@@ -58,9 +60,9 @@
     Handlers handlers;
     std::map<SocketAddress, std::unique_ptr<MeshClient>, AddressOrder> clients;
     bool fetching = false;
-    /// Bytes of clients that are gone.
-    std::uint64_t formerlySent = 0;
-    std::uint64_t formerlyReceived = 0;
+    /// Bytes exchanged by clients of peers that were removed.
+    std::uint64_t removedClientsSent = 0;
+    std::uint64_t removedClientsReceived = 0;
     Timer timer;
 };
 
--- a/modules/daemon/peers/PeerRecord.h
+++ b/modules/daemon/peers/PeerRecord.h
@@ -5,10 +5,11 @@
 
 namespace Greengage {
 
-/// The last state of a peer, and when the exchange that brought it began.
+/// The last observed state of a peer.
 struct PeerRecord {
     PeerState state;
-    Instant heardAt;
+    /// When the request that returned the state was sent.
+    Instant lastSeenAt;
 };
 
 } // namespace Greengage
--- a/modules/daemon/peers/PeerTable.cpp
+++ b/modules/daemon/peers/PeerTable.cpp
@@ -8,13 +8,13 @@
 
 } // namespace
 
-void PeerTable::take(const PeerState& state, Instant askedAt)
+void PeerTable::record(const PeerState& state, Instant askedAt)
 {
-    std::erase_if(this->peers, [askedAt](const auto& entry) { return entry.second.heardAt + retention < askedAt; });
-    PeerRecord& record = this->peers[state.incarnation];
-    if (askedAt < record.heardAt)
+    std::erase_if(this->peers, [askedAt](const auto& entry) { return entry.second.lastSeenAt + retention < askedAt; });
+    PeerRecord& stored = this->peers[state.incarnation];
+    if (askedAt < stored.lastSeenAt)
         return;
-    record = { state, askedAt };
+    stored = { state, askedAt };
 }
 
 const PeerRecord* PeerTable::find(const IncarnationId& incarnation) const
--- a/modules/daemon/peers/PeerTable.h
+++ b/modules/daemon/peers/PeerTable.h
@@ -8,13 +8,14 @@
 
 namespace Greengage {
 
-/// What the other daemons last said of themselves.
+/// The last observed states of the other daemons, by incarnation.
 class PeerTable {
 public:
-    /// Takes a peer's state from an exchange that began at `askedAt`. Forgets those not heard for long.
-    void take(const PeerState&, Instant askedAt);
+    /// Records the state of a peer that was requested at `askedAt`, unless a newer one is known. Removes peers that
+    /// were last seen more than ten minutes before.
+    void record(const PeerState&, Instant askedAt);
 
-    /// What is known of an incarnation, or null if it has not been heard.
+    /// The record of an incarnation, or null if it was never seen or has been removed.
     const PeerRecord* find(const IncarnationId&) const;
 
 private:
--- a/modules/daemon/process/Daemon.cpp
+++ b/modules/daemon/process/Daemon.cpp
@@ -20,10 +20,11 @@
 constexpr Milliseconds tickInterval { 50 };
 constexpr std::size_t incarnationBytes = 8;
 constexpr const char* documentKey = "config/document";
-/// How long the last answers may take to reach callers once nothing else is left to do.
+/// How long the daemon waits, once all work is finished, for the last answers to reach callers and connections to
+/// close.
 constexpr Milliseconds connectionCloseTimeout { 1000 };
-/// How long a daemon that is to stop goes on accepting callers, while its health page says that it does not serve.
-constexpr Milliseconds announceTime { 1000 };
+/// How long a daemon that shuts down still accepts callers while its health page reports it as not serving.
+constexpr Milliseconds shutdownNoticePeriod { 1000 };
 
 CallerLimits toLimits(const CallerSettings& settings)
 {
@@ -37,9 +38,9 @@
 
 } // namespace
 
-Daemon::Daemon(event_base& base, const DaemonSettings& settings, std::function<void()> stopped)
+Daemon::Daemon(event_base& base, const DaemonSettings& settings, std::function<void()> onStopped)
     : settings(settings)
-    , stopped(std::move(stopped))
+    , onStopped(std::move(onStopped))
     , self(makeSelf(settings))
     , plane(this->self)
     , store(base, settings.store.address, settings.store.port, settings.address)
@@ -54,13 +55,13 @@
     , peerExchange(base, settings.address, this->peerHandlers())
     , watcher(base, this->store, { documentKey, MemberTable::prefix, AllotmentWriter::key, std::string(ledgerKey) },
           this->watchHandlers())
-    , registration(base, this->store, makeMember(settings, this->self))
+    , registration(base, this->store, makeMemberRecord(settings, this->self))
     , vmReader(base, this->store,
           { [this](const std::vector<VmRecord>& listed) {
                this->vms = listed;
-               this->listEndpoints();
+               this->publishEndpoints();
            },
-              [this] { this->maintenance.push(this->makeListing()); } })
+              [this] { this->maintenance.push(this->makeEndpointListing()); } })
     , claims(
           base, this->store, this->self.incarnation, [this](ClaimSettled settled) { this->push(std::move(settled)); })
     , allotments(base, this->store, [this](RequestInput input) { this->push(std::move(input)); })
@@ -91,7 +92,7 @@
     return self;
 }
 
-MemberRecord Daemon::makeMember(const DaemonSettings& settings, const PeerState& self)
+MemberRecord Daemon::makeMemberRecord(const DaemonSettings& settings, const PeerState& self)
 {
     return { self.daemon, self.incarnation, self.zone, settings.mesh.advertised, settings.admin.port };
 }
@@ -129,29 +130,29 @@
 PeerExchange::Handlers Daemon::peerHandlers()
 {
     PeerExchange::Handlers handlers;
-    handlers.roundBegins = [this] {
+    handlers.onExchangeStarting = [this] {
         Instant now = BootClock::now();
         this->maintenance.push(PeerHeard { this->plane.describe(now), now });
     };
-    handlers.heard = [this](PeerState state, Instant askedAt) {
-        this->peers.take(state, askedAt);
+    handlers.onStateReceived = [this](PeerState state, Instant askedAt) {
+        this->peers.record(state, askedAt);
         this->maintenance.push(PeerHeard { state, askedAt });
         this->push(PeerHeard { std::move(state), askedAt });
     };
     handlers.appliedRevision = [this] { return this->documents.known().appliedRevision(); };
-    handlers.fetched = [this](const DocumentRecord& record) { this->documents.offer(record, "peer"); };
+    handlers.onDocumentFetched = [this](const DocumentRecord& record) { this->documents.offer(record, "peer"); };
     return handlers;
 }
 
 StoreWatcher::Handlers Daemon::watchHandlers()
 {
     StoreWatcher::Handlers handlers;
-    handlers.changed = [this](const StoreEntry& entry) { this->takeEntry(entry); };
-    handlers.confirmed = [this](Instant askedAt) {
+    handlers.onEntryChanged = [this](const StoreEntry& entry) { this->handleStoreEntry(entry); };
+    handlers.onConfirmed = [this](Instant askedAt) {
         this->push(StoreConfirmed { askedAt, this->documents.known().newestStored });
-        this->listMembers();
+        this->publishMembers();
     };
-    handlers.reachabilityChanged = [this] { this->choosePeers(); };
+    handlers.onReachabilityChanged = [this] { this->updatePeers(); };
     return handlers;
 }
 
@@ -175,7 +176,7 @@
             .add("callers_port", this->settings.callers.port)
             .add("admin_port", this->settings.admin.port)
             .add("mesh_port", this->settings.mesh.port));
-    this->choosePeers();
+    this->updatePeers();
     this->watcher.start();
     this->registration.start();
     this->vmReader.start();
@@ -199,7 +200,7 @@
     std::vector<RequestInput> inputs = std::move(this->inbox);
     this->inbox.clear();
     for (const RequestOutput& output : this->plane.tick(now, std::move(inputs)))
-        this->carryOut(output);
+        this->execute(output);
     this->metrics.latency("greengage_tick_seconds", "Time of one tick with its outputs.")
         .record(BootClock::now() - now);
     if (this->shuttingDown)
@@ -208,9 +209,9 @@
         this->tickTimer.schedule(tickInterval);
 }
 
-void Daemon::carryOut(const RequestOutput& output)
+void Daemon::execute(const RequestOutput& output)
 {
-    struct Carrier {
+    struct Executor {
         Daemon& daemon;
         void operator()(const SendAttempt& attempt) const { this->daemon.gateway.send(attempt); }
         void operator()(const AnswerCaller& answer) const { this->daemon.gateway.answer(answer); }
@@ -218,18 +219,18 @@
         void operator()(const UpdateAllotments& update) const { this->daemon.allotments.update(update); }
         void operator()(const AskRunning& question) const { this->daemon.gateway.askRunning(question); }
     };
-    std::visit(Carrier { *this }, output);
+    std::visit(Executor { *this }, output);
 }
 
-void Daemon::takeEntry(const StoreEntry& entry)
+void Daemon::handleStoreEntry(const StoreEntry& entry)
 {
     if (entry.key.starts_with(MemberTable::prefix)) {
-        if (this->members.take(entry))
-            this->choosePeers();
+        if (this->members.apply(entry))
+            this->updatePeers();
     } else if (entry.key == AllotmentWriter::key)
-        this->allotments.take(entry);
+        this->allotments.handleEntry(entry);
     else if (entry.key == ledgerKey)
-        this->maintenance.take(entry, this->watcher.askedAt());
+        this->maintenance.handleLedgerEntry(entry, this->watcher.askedAt());
     else if (entry.key == documentKey && entry.version > 0) {
         auto record = DocumentCodec::decode(entry.value);
         if (record.has_value())
@@ -239,7 +240,7 @@
     }
 }
 
-void Daemon::listMembers()
+void Daemon::publishMembers()
 {
     MembersListed listed;
     for (const auto& [key, member] : this->members.members())
@@ -248,20 +249,20 @@
     this->push(std::move(listed));
 }
 
-void Daemon::listEndpoints()
+void Daemon::publishEndpoints()
 {
-    this->maintenance.push(this->makeListing());
-    this->push(this->makeListing());
+    this->maintenance.push(this->makeEndpointListing());
+    this->push(this->makeEndpointListing());
 }
 
-EndpointsListed Daemon::makeListing() const
+EndpointsListed Daemon::makeEndpointListing() const
 {
     const MaintenanceLedger& ledger = this->maintenance.ledger();
     return { this->vms, ledger.outOfService(), ledger.revision };
 }
 
-/// The members that the store tells of; while it is out, also those that the settings name.
-void Daemon::choosePeers()
+/// Connects to the members listed in the store, and while the store is unreachable also to the peers in the settings.
+void Daemon::updatePeers()
 {
     std::vector<SocketAddress> chosen;
     for (const auto& [key, member] : this->members.members()) {
@@ -281,12 +282,12 @@
 {
     MaintenanceDriver::Handlers handlers;
     handlers.askRunning = [this](const AskRunning& question) { this->gateway.askRunning(question); };
-    handlers.ledgerChanged = [this](const MaintenanceLedger&) {
-        // The list of VMs is as old as before, so the maintenance plane must not take it for a new one.
-        this->push(this->makeListing());
+    handlers.onLedgerChanged = [this](const MaintenanceLedger&) {
+        // Only the ledger changed: the maintenance plane would take a pushed listing for a newly read list of VMs.
+        this->push(this->makeEndpointListing());
         this->peerExchange.exchangeNow();
     };
-    handlers.documentStored = [this](const DocumentRecord& record) { this->documents.offer(record, "maintenance"); };
+    handlers.onDocumentStored = [this](const DocumentRecord& record) { this->documents.offer(record, "maintenance"); };
     return handlers;
 }
 
@@ -312,7 +313,7 @@
         const PeerRecord* peer = this->peers.find(member.incarnation);
         if (peer)
             report.daemons.push_back({ member.daemon, member.zone, peer->state.appliedRevision,
-                std::chrono::duration_cast<Milliseconds>(now - peer->heardAt).count() });
+                std::chrono::duration_cast<Milliseconds>(now - peer->lastSeenAt).count() });
     }
     for (const WaveProgress& wave : this->maintenance.ledger().waves)
         report.waves.push_back({ wave.wave, std::string(nameOf(wave.state)), static_cast<int>(wave.remaining.size()),
@@ -357,9 +358,9 @@
 {
     if (this->shuttingDown)
         return;
-    writeLog(LogLevel::Info, LogLine("shutdown_begun").add("connections", this->gateway.callerConnections()));
+    writeLog(LogLevel::Info, LogLine("shutdown_started").add("connections", this->gateway.callerConnections()));
     this->shuttingDown = true;
-    this->announceUntil = Deadline::after(BootClock::now(), announceTime);
+    this->shutdownNoticeUntil = Deadline::after(BootClock::now(), shutdownNoticePeriod);
     this->gateway.beginClosing();
     this->push(ShutdownRequested {});
 }
@@ -367,7 +368,7 @@
 void Daemon::continueShutdown(Instant now)
 {
     bool isIdle = this->plane.isIdle() && this->gateway.isIdle() && this->adminServer.isIdle();
-    if (this->withdrawing || !isIdle || !this->announceUntil.hasPassed(now))
+    if (this->deregistering || !isIdle || !this->shutdownNoticeUntil.hasPassed(now))
         return;
     if (this->closeConnectionsAt == Deadline()) {
         writeLog(LogLevel::Info, LogLine("shutdown_drained").add("connections", this->gateway.callerConnections()));
@@ -376,14 +377,14 @@
     }
     if (this->gateway.callerConnections() > 0 && !this->closeConnectionsAt.hasPassed(now))
         return;
-    this->withdrawing = true;
-    this->registration.withdraw([this] { this->finishShutdown(); });
+    this->deregistering = true;
+    this->registration.deregister([this] { this->finishShutdown(); });
 }
 
 void Daemon::finishShutdown()
 {
     writeLog(LogLevel::Info, LogLine("stopped").add("daemon", this->self.daemon.string()));
-    this->stopped();
+    this->onStopped();
 }
 
 } // namespace Greengage
--- a/modules/daemon/process/Daemon.h
+++ b/modules/daemon/process/Daemon.h
@@ -30,15 +30,16 @@
 
 namespace Greengage {
 
-/// The entry daemon: collects inputs, runs the request plane's tick and carries out its outputs.
+/// The entry daemon: queues inputs, runs the ticks of the request plane and executes their outputs.
 class Daemon {
 public:
-    /// `stopped` is called once, when a shutdown that was asked for is complete.
-    Daemon(event_base&, const DaemonSettings&, std::function<void()> stopped);
+    /// `onStopped` is called once, when a shutdown that `shutDown` began is complete.
+    Daemon(event_base&, const DaemonSettings&, std::function<void()> onStopped);
 
     Daemon(const Daemon&) = delete;
     Daemon& operator=(const Daemon&) = delete;
 
+    /// Listens on all ports and starts the ticks. The error says which port could not be opened.
     Result<void, DaemonError> start();
 
     /// Begins a graceful shutdown: accepted requests are finished, new ones refused.
@@ -46,7 +47,7 @@
 
 private:
     static PeerState makeSelf(const DaemonSettings&);
-    static MemberRecord makeMember(const DaemonSettings&, const PeerState& self);
+    static MemberRecord makeMemberRecord(const DaemonSettings&, const PeerState& self);
     Gateway::Handlers gatewayHandlers();
     MeshServer::Handlers meshHandlers();
     PeerExchange::Handlers peerHandlers();
@@ -59,17 +60,17 @@
 
     void push(RequestInput);
     void tick();
-    void carryOut(const RequestOutput&);
-    void takeEntry(const StoreEntry&);
-    void listMembers();
-    void listEndpoints();
-    EndpointsListed makeListing() const;
-    void choosePeers();
+    void execute(const RequestOutput&);
+    void handleStoreEntry(const StoreEntry&);
+    void publishMembers();
+    void publishEndpoints();
+    EndpointsListed makeEndpointListing() const;
+    void updatePeers();
     void continueShutdown(Instant now);
     void finishShutdown();
 
     DaemonSettings settings;
-    std::function<void()> stopped;
+    std::function<void()> onStopped;
     PeerState self;
     MetricsRegistry metrics;
     RequestObserver observer { this->metrics };
@@ -82,9 +83,11 @@
     MemberTable members;
     PeerTable peers;
     bool shuttingDown = false;
-    bool withdrawing = false;
-    /// Until then callers are still accepted and told to go elsewhere, so that the balancer can notice.
-    Deadline announceUntil;
+    bool deregistering = false;
+    /// Until then a daemon that shuts down still accepts callers and refuses their requests, so that the load balancer
+    /// can take it out of rotation.
+    Deadline shutdownNoticeUntil;
+    /// When connections of callers that are still open are no longer waited for.
     Deadline closeConnectionsAt;
     StoreClient store;
     DocumentKeeper documents;
@@ -97,7 +100,7 @@
     ClaimWriter claims;
     AllotmentWriter allotments;
     MaintenanceDriver maintenance;
-    RolloutJudge rollout;
+    RolloutTracker rollout;
     AdminApi adminApi;
     WaveApi waveApi;
     AdminServer adminServer;
--- a/modules/daemon/vms/VmListReader.cpp
+++ b/modules/daemon/vms/VmListReader.cpp
@@ -22,9 +22,9 @@
     this->store.readVms([this](const Result<std::shared_ptr<const std::vector<VmRecord>>, StoreError>& vms) {
         if (vms.has_value() && vms.value() != this->newest) {
             this->newest = vms.value();
-            this->handlers.changed(*this->newest);
+            this->handlers.onChanged(*this->newest);
         } else if (vms.has_value())
-            this->handlers.confirmed();
+            this->handlers.onUnchanged();
         this->timer.schedule(readInterval);
     });
 }
--- a/modules/daemon/vms/VmListReader.h
+++ b/modules/daemon/vms/VmListReader.h
@@ -11,14 +11,14 @@
 
 class StoreClient;
 
-/// Reads the platform's list of VMs every two seconds. A list that cannot be read leaves the last one as it is.
+/// Reads the platform's list of VMs every two seconds. After a failed read the last list stays in effect.
 class VmListReader {
 public:
     struct Handlers {
-        /// The list differs from the one before.
-        std::function<void(const std::vector<VmRecord>&)> changed;
-        /// The list has been read and is the same as before.
-        std::function<void()> confirmed;
+        /// Called when the list differs from the previous one.
+        std::function<void(const std::vector<VmRecord>&)> onChanged;
+        /// Called when the list was read and has not changed.
+        std::function<void()> onUnchanged;
     };
 
     VmListReader(event_base&, StoreClient&, Handlers);
