--- a/tests/daemon/FleetFixture.cpp
+++ b/tests/daemon/FleetFixture.cpp
@@ -21,9 +21,9 @@
 namespace {
 
 constexpr int firstPort = 24100;
-constexpr int portsEach = 10;
-constexpr int portBlocks = 80;
-constexpr auto hangBound = std::chrono::seconds(60);
+constexpr int portsPerFixture = 10;
+constexpr int maxFixtures = 80;
+constexpr auto waitTimeout = std::chrono::seconds(60);
 constexpr auto pollInterval = std::chrono::milliseconds(10);
 constexpr const char* storeAddress = "127.3.0.1";
 constexpr const char* salt = "0011223344556677";
@@ -36,8 +36,8 @@
     return "127.2." + std::to_string(1 + number % 2) + "." + std::to_string(1 + number / 2);
 }
 
-/// The value of one pair of a history's line.
-std::string valueIn(const std::string& line, const std::string& key)
+/// The value of a `key=value` field in a line of a history file.
+std::string fieldValue(const std::string& line, const std::string& key)
 {
     auto begin = line.find(" " + key + "=");
     if (begin == std::string::npos)
@@ -49,7 +49,7 @@
 } // namespace
 
 FleetFixture::FleetFixture()
-    : basePort(static_cast<std::uint16_t>(firstPort + getpid() % portBlocks * portsEach))
+    : basePort(static_cast<std::uint16_t>(firstPort + getpid() % maxFixtures * portsPerFixture))
 {
     char pattern[] = "/tmp/greengage-daemon-XXXXXX";
     this->folder = mkdtemp(pattern);
@@ -66,7 +66,7 @@
             "vm" + std::to_string(number) + "=" + endpointAddress(number) + ":" + std::to_string(this->basePort + 5));
     }
     this->minion = std::make_unique<ChildProcess>(program("standin-minion"), arguments, this->path("minion.log"));
-    awaitTrue("store and minions listen", [this] {
+    awaitTrue("store and endpoints listen", [this] {
         return talkHttp(storeAddress, this->basePort + 4, "GET", "/control/calls").status == 200
             && talkHttp(storeAddress, this->basePort + 6, "GET", "/control/state").status == 200;
     });
@@ -176,10 +176,10 @@
 
 void FleetFixture::awaitTrue(const std::string& what, const std::function<bool()>& condition)
 {
-    auto giveUp = std::chrono::steady_clock::now() + hangBound;
+    auto giveUp = std::chrono::steady_clock::now() + waitTimeout;
     while (!condition()) {
         if (std::chrono::steady_clock::now() > giveUp)
-            BOOST_FAIL("gave up waiting until " << what);
+            BOOST_FAIL("timed out waiting until " << what);
         std::this_thread::sleep_for(pollInterval);
     }
 }
@@ -202,7 +202,7 @@
     return text;
 }
 
-int FleetFixture::startsOf(const std::string& call) const
+int FleetFixture::startCount(const std::string& call) const
 {
     std::ifstream stream(this->path("history"));
     int starts = 0;
@@ -213,7 +213,7 @@
     return starts;
 }
 
-int FleetFixture::startsWhileRebooting() const
+int FleetFixture::startCountWhileRebooting() const
 {
     struct Reboot {
         std::string vm;
@@ -224,11 +224,11 @@
     std::ifstream platform(this->path("platform-history"));
     for (std::string line; std::getline(platform, line);) {
         if (line.starts_with("event=vm_leaving"))
-            reboots.push_back({ valueIn(line, "vm"), std::stoll(valueIn(line, "at")) });
+            reboots.push_back({ fieldValue(line, "vm"), std::stoll(fieldValue(line, "at")) });
         auto open = std::find_if(reboots.rbegin(), reboots.rend(),
-            [&line](const Reboot& reboot) { return reboot.vm == valueIn(line, "vm"); });
+            [&line](const Reboot& reboot) { return reboot.vm == fieldValue(line, "vm"); });
         if (line.starts_with("event=vm_live") && open != reboots.rend())
-            open->to = std::stoll(valueIn(line, "at"));
+            open->to = std::stoll(fieldValue(line, "at"));
     }
     BOOST_TEST(!reboots.empty());
     int starts = 0;
@@ -236,9 +236,9 @@
     for (std::string line; std::getline(endpoints, line);) {
         if (!line.starts_with("event=start "))
             continue;
-        long long at = std::stoll(valueIn(line, "at"));
+        long long at = std::stoll(fieldValue(line, "at"));
         starts += static_cast<int>(std::count_if(reboots.begin(), reboots.end(), [&](const Reboot& reboot) {
-            return reboot.vm == valueIn(line, "vm") && at > reboot.from && at < reboot.to;
+            return reboot.vm == fieldValue(line, "vm") && at > reboot.from && at < reboot.to;
         }));
     }
     return starts;
--- a/tests/daemon/FleetFixture.h
+++ b/tests/daemon/FleetFixture.h
@@ -12,44 +12,49 @@
 
 namespace Greengage {
 
-/// A small fleet of real processes on loopback addresses: a store, four endpoints in two availability zones and some
-/// daemons, under one document with a team, a key and two queues.
+/// A small fleet of real processes on loopback addresses: a store, four endpoints in two availability zones, and the
+/// daemons that a test starts. `documentText` is its document.
 class FleetFixture {
 public:
     FleetFixture();
     ~FleetFixture();
 
-    /// Starts daemon `number` (from 1) in zone `number`.
+    /// Starts daemon `number` (from 1) in availability zone `number`.
     void startDaemon(int number);
     ChildProcess& daemon(int number) { return *this->daemons.at(static_cast<std::size_t>(number)); }
     std::string daemonAddress(int number) const { return "127.1." + std::to_string(number) + ".1"; }
 
-    /// Submits a text through a daemon and returns the answer.
+    /// Submits a document text through a daemon and returns the response.
     HttpTalkReply submit(int number, const std::string& changeId, int baseRevision, const std::string& text);
+    /// Sends a request to a queue as a caller.
     HttpTalkReply call(
         int number, const std::string& queue, const std::vector<std::string>& headers, const std::string& body);
+    /// Reads a page from a daemon's admin port.
     HttpTalkReply admin(int number, const std::string& path);
+    /// Sets faults and VMs of the store stand-in.
     HttpTalkReply control(const Json::Value& storeFaults);
+    /// The calls that the store stand-in has counted.
     Json::Value storeCalls();
-    /// How many calls of a kind the store has had.
+    /// The number of store calls whose name ends with `kind`.
     int storeCallCount(const std::string& kind);
 
-    /// Waits until a daemon answers that it serves.
+    /// Waits until a daemon's health page reports that it serves.
     void awaitHealthy(int number);
+    /// Polls `condition`, and fails the test if it is not true within a minute. `what` names it in the failure.
     static void awaitTrue(const std::string& what, const std::function<bool()>& condition);
 
-    /// The document; the key's section is left out if it is withdrawn.
+    /// The document of the fleet, without the section of the caller's key if `withKey` is false.
     std::string documentText(bool withKey = true) const;
     const std::string bearer = "Authorization: Bearer booking.secret";
 
     std::uint16_t callersPort() const { return this->basePort; }
     std::uint16_t adminPort() const { return this->basePort + 1; }
 
-    /// How often the minions began work whose body has this call name.
-    int startsOf(const std::string& call) const;
+    /// The number of times that endpoints started work with this call name in its body.
+    int startCount(const std::string& call) const;
 
-    /// How often work began at an endpoint while the platform rebooted its VM.
-    int startsWhileRebooting() const;
+    /// The number of times that work started at an endpoint while the platform rebooted its VM.
+    int startCountWhileRebooting() const;
 
 private:
     std::string writeSettings(int number) const;
--- a/tests/daemon/RunningFleet.cpp
+++ b/tests/daemon/RunningFleet.cpp
@@ -15,11 +15,11 @@
     HttpTalkReply accepted = this->submit(1, "first", 0, this->documentText());
     BOOST_REQUIRE_MESSAGE(accepted.status == 200, accepted.body);
     BOOST_TEST(accepted.body.find("\"inForce\":true") != std::string::npos, accepted.body);
-    this->awaitAnswer(1);
-    this->awaitAnswer(2);
+    this->awaitServing(1);
+    this->awaitServing(2);
 }
 
-void RunningFleet::awaitAnswer(int number)
+void RunningFleet::awaitServing(int number)
 {
     this->awaitHealthy(number);
     FleetFixture::awaitTrue("daemon reaches endpoints",
--- a/tests/daemon/RunningFleet.h
+++ b/tests/daemon/RunningFleet.h
@@ -4,12 +4,12 @@
 
 namespace Greengage {
 
-/// Two daemons in two zones that serve, with the document in force.
+/// Two daemons in two availability zones that serve requests under the fixture's document.
 struct RunningFleet : FleetFixture {
     RunningFleet();
 
-    /// Waits until a daemon has the list of endpoints.
-    void awaitAnswer(int number);
+    /// Waits until a daemon is healthy and its requests reach endpoints.
+    void awaitServing(int number);
 };
 
 } // namespace Greengage
--- a/tests/daemon/WaveTests.cpp
+++ b/tests/daemon/WaveTests.cpp
@@ -45,12 +45,12 @@
     BOOST_TEST(failed == 0);
     BOOST_TEST(answered > 0);
     BOOST_TEST(this->storeCallCount("reboot") >= 4);
-    BOOST_TEST(this->startsWhileRebooting() == 0);
+    BOOST_TEST(this->startCountWhileRebooting() == 0);
     BOOST_TEST(this->wave(1, "no-such-wave/start").status == 404);
     BOOST_TEST(this->wave(1, "kernel/resume").status == 409);
 }
 
-BOOST_AUTO_TEST_CASE(waveIsDrivenOnAfterItsDriverIsKilled)
+BOOST_AUTO_TEST_CASE(waveContinuesAfterTheDaemonDrivingItIsKilled)
 {
     BOOST_REQUIRE(this->wave(1, "kernel/start").status == 200);
     FleetFixture::awaitTrue("the wave has begun", [this] { return this->statusHas(2, R"("state":"running")"); });
@@ -61,7 +61,7 @@
         "the wave is done", [this] { return this->statusHas(2, R"("state":"done","stuck":[],"wave":"kernel")"); });
 }
 
-BOOST_AUTO_TEST_CASE(movedVmsStandInTheTargetPoolOfTheDocument)
+BOOST_AUTO_TEST_CASE(movedVmsAreInTheTargetPoolOfTheDocument)
 {
     BOOST_REQUIRE(this->wave(2, "shrink/start").status == 200);
     FleetFixture::awaitTrue("a VM has moved",
@@ -69,9 +69,9 @@
     BOOST_TEST(this->wave(2, "shrink/pause").status == 200);
 }
 
-BOOST_AUTO_TEST_CASE(waveBeginsLongAfterTheListOfVmsLastChanged)
+BOOST_AUTO_TEST_CASE(waveStartsLongAfterTheListOfVmsLastChanged)
 {
-    // Both daemons read the list every two seconds; by then the list has stood unchanged for twenty.
+    // Both daemons read the list every two seconds, so after 20 reads it has been unchanged for 20 seconds.
     int before = this->storeCallCount("vms");
     FleetFixture::awaitTrue("the list has been read often", [&] { return this->storeCallCount("vms") >= before + 20; });
     BOOST_REQUIRE(this->wave(1, "kernel/start").status == 200);
--- a/tests/daemon/WholePathTests.cpp
+++ b/tests/daemon/WholePathTests.cpp
@@ -26,10 +26,10 @@
         BOOST_TEST(reply.headHas("Greengage-Outcome: answered"));
         BOOST_TEST(reply.body.size() == 200U);
     }
-    BOOST_TEST(this->startsOf("order") == 2);
+    BOOST_TEST(this->startCount("order") == 2);
 }
 
-BOOST_AUTO_TEST_CASE(requestsWithoutARightKeyAreNotRun)
+BOOST_AUTO_TEST_CASE(requestsWithoutAValidKeyAreNotRun)
 {
     HttpTalkReply missing = this->call(1, "orders", {}, work);
     BOOST_TEST(missing.status == 401);
@@ -38,11 +38,11 @@
     BOOST_TEST(wrong.status == 401);
     BOOST_TEST(wrong.headHas("Greengage-Outcome: not_run"));
     BOOST_TEST(this->call(1, "unknown", { this->bearer }, work).status == 404);
-    BOOST_TEST(this->startsOf("order") == 0);
+    BOOST_TEST(this->startCount("order") == 0);
     BOOST_TEST(talkHttp(this->daemonAddress(1), this->adminPort(), "GET", "/v1/status").status == 401);
 }
 
-BOOST_AUTO_TEST_CASE(withdrawnKeyStopsOnEveryDaemonOnceTheChangeIsInForce)
+BOOST_AUTO_TEST_CASE(withdrawnKeyIsRefusedByEveryDaemonOnceTheChangeIsInForce)
 {
     HttpTalkReply accepted = this->submit(1, "second", 1, this->documentText(false));
     BOOST_REQUIRE(accepted.status == 200);
@@ -54,7 +54,7 @@
     BOOST_TEST(again.body.find("\"revision\":2") != std::string::npos, again.body);
 }
 
-BOOST_AUTO_TEST_CASE(submissionWhoseAnswerWasLostIsMadeOnce)
+BOOST_AUTO_TEST_CASE(submissionWhoseAnswerWasLostIsStoredOnce)
 {
     Json::Value faults(Json::objectValue);
     faults["loseWriteAnswers"] = 2;
@@ -64,38 +64,38 @@
     BOOST_TEST(accepted.body.find("\"revision\":2") != std::string::npos, accepted.body);
 }
 
-BOOST_AUTO_TEST_CASE(termFinishesAcceptedWorkAndEndsTheProcess)
+BOOST_AUTO_TEST_CASE(sigtermFinishesAcceptedWorkAndStopsTheProcess)
 {
     HttpTalkReply reply;
     std::thread caller(
         [&] { reply = this->call(1, "orders", { this->bearer }, "call=long run_ms=1500 answer_bytes=64\n"); });
-    FleetFixture::awaitTrue("the work has begun", [this] { return this->startsOf("long") == 1; });
+    FleetFixture::awaitTrue("the work has begun", [this] { return this->startCount("long") == 1; });
     this->daemon(1).signal(SIGTERM);
     caller.join();
     BOOST_TEST(reply.status == 200, reply.body);
     BOOST_TEST(reply.body.size() == 64U);
     BOOST_TEST((this->daemon(1).awaitExit() == 0));
     BOOST_TEST(this->daemon(1).output().find("event=stopped") != std::string::npos);
-    FleetFixture::awaitTrue("the other daemon has seen it leave",
+    FleetFixture::awaitTrue("the other daemon has removed the member",
         [this] { return this->daemon(2).output().find("event=member_left daemon=d1") != std::string::npos; });
 }
 
-BOOST_AUTO_TEST_CASE(replacingEveryDaemonUnderLoadLosesAndCutsAndDoublesNothing)
+BOOST_AUTO_TEST_CASE(rollingRestartUnderLoadNeitherLosesNorRepeatsRequests)
 {
     std::atomic<bool> done = false;
     int answered = 0;
-    int cut = 0;
-    int elsewhere = 0;
+    int disconnected = 0;
+    int retried = 0;
     std::vector<std::string> names;
     std::thread caller([&] {
-        for (int turn = 0; !done; ++turn) {
-            std::string name = "roll" + std::to_string(turn);
+        for (int round = 0; !done; ++round) {
+            std::string name = "roll" + std::to_string(round);
             HttpTalkReply reply;
-            // As the balancer does, a request that was not run goes to the other daemon.
-            for (int number = 1 + turn % 2; reply.status != 200 && !done; number = 3 - number) {
+            // Like the load balancer, sends a request that was not run to the other daemon.
+            for (int number = 1 + round % 2; reply.status != 200 && !done; number = 3 - number) {
                 reply = this->call(number, "orders", { this->bearer }, "call=" + name + " run_ms=30 answer_bytes=64\n");
-                cut += reply.connected && reply.status == 0 ? 1 : 0;
-                elsewhere += reply.status != 200 ? 1 : 0;
+                disconnected += reply.connected && reply.status == 0 ? 1 : 0;
+                retried += reply.status != 200 ? 1 : 0;
             }
             if (reply.status == 200) {
                 answered += 1;
@@ -107,18 +107,18 @@
         this->daemon(number).signal(SIGTERM);
         BOOST_TEST((this->daemon(number).awaitExit() == 0));
         this->startDaemon(number);
-        this->awaitAnswer(number);
+        this->awaitServing(number);
     }
     done = true;
     caller.join();
-    BOOST_TEST(cut == 0);
-    BOOST_TEST(elsewhere > 0);
+    BOOST_TEST(disconnected == 0);
+    BOOST_TEST(retried > 0);
     BOOST_TEST(answered > 0);
     for (const std::string& name : names)
-        BOOST_TEST(this->startsOf(name) == 1, name);
+        BOOST_TEST(this->startCount(name) == 1, name);
 }
 
-BOOST_AUTO_TEST_CASE(metricsAndBurnRowsTellWhatHappened)
+BOOST_AUTO_TEST_CASE(metricsAndBurnRowsReportOutcomes)
 {
     this->call(1, "orders", { this->bearer }, work);
     this->call(1, "orders", {}, work);
@@ -152,7 +152,7 @@
 
 BOOST_AUTO_TEST_SUITE(SettingsCheckTests)
 
-BOOST_AUTO_TEST_CASE(wrongSettingsAreRefusedByName)
+BOOST_AUTO_TEST_CASE(invalidSettingsAreRejectedWithTheName)
 {
 
     ChildProcess check(BINARY_ROOT "/bin/greengaged",
