--- a/modules/loop/http/HttpBuffers.h
+++ b/modules/loop/http/HttpBuffers.h
@@ -8,7 +8,7 @@
 
 namespace Greengage {
 
-/// Copies a buffer's bytes and leaves the buffer empty.
+/// Removes all bytes from a buffer and returns them.
 std::string takeBytes(evbuffer&);
 
 /// The value of a header, or an empty string if it is absent.
--- a/modules/loop/http/OpenRequests.cpp
+++ b/modules/loop/http/OpenRequests.cpp
@@ -16,7 +16,8 @@
     this->requests[id] = &request;
     evhttp_connection_set_closecb(
         evhttp_request_get_connection(&request),
-        [](evhttp_connection* closed, void* table) { static_cast<OpenRequests*>(table)->dropOf(closed); }, this);
+        [](evhttp_connection* closed, void* table) { static_cast<OpenRequests*>(table)->removeRequestsOf(closed); },
+        this);
     return id;
 }
 
@@ -31,7 +32,7 @@
     return request;
 }
 
-void OpenRequests::dropOf(evhttp_connection* connection)
+void OpenRequests::removeRequestsOf(evhttp_connection* connection)
 {
     std::erase_if(this->requests,
         [connection](const auto& entry) { return evhttp_request_get_connection(entry.second) == connection; });
--- a/modules/loop/http/OpenRequests.h
+++ b/modules/loop/http/OpenRequests.h
@@ -9,8 +9,8 @@
 
 namespace Greengage {
 
-/// The requests of an evhttp server that are answered later than they arrive. A request whose client leaves meanwhile
-/// is dropped from the table, since evhttp frees it.
+/// The requests of an evhttp server that have not been answered yet. When a client disconnects before that, its request
+/// is removed, since evhttp frees it.
 class OpenRequests {
 public:
     OpenRequests() = default;
@@ -19,16 +19,17 @@
     OpenRequests(const OpenRequests&) = delete;
     OpenRequests& operator=(const OpenRequests&) = delete;
 
-    /// Returns the id by which the request is taken again.
+    /// Adds a request and returns its id, to be passed to `take`.
     std::uint64_t add(evhttp_request&);
 
-    /// Removes the request, to answer it; null if its client has left or it has been taken.
+    /// Removes and returns the request, so that it can be answered. Null if it was taken before or its client has
+    /// disconnected.
     evhttp_request* take(std::uint64_t id);
 
     std::size_t size() const { return this->requests.size(); }
 
 private:
-    void dropOf(evhttp_connection*);
+    void removeRequestsOf(evhttp_connection*);
 
     std::unordered_map<std::uint64_t, evhttp_request*> requests;
     std::uint64_t nextId = 1;
--- a/modules/loop/loop.h
+++ b/modules/loop/loop.h
@@ -1,4 +1,4 @@
-// Purpose: ownership, timers, signals and parts of HTTP servers for the libevent loop that a process runs on.
+// Purpose: RAII wrappers for libevent: ownership of its objects, timers, signal handlers and helpers for HTTP servers.
 // Dependencies: core, libevent.
 #pragma once
 
--- a/modules/loop/memory/EventDeleter.h
+++ b/modules/loop/memory/EventDeleter.h
@@ -11,7 +11,7 @@
 
 namespace Greengage {
 
-/// Frees libevent's objects, for use as the deleter of a std::unique_ptr.
+/// Deleter of a std::unique_ptr to a libevent object.
 struct EventDeleter {
     void operator()(bufferevent*) const;
     void operator()(evbuffer*) const;
@@ -21,7 +21,7 @@
     void operator()(evhttp*) const;
 };
 
-/// An owned object of libevent.
+/// Owning pointer to a libevent object.
 template <typename Object> using EventPointer = std::unique_ptr<Object, EventDeleter>;
 
 } // namespace Greengage
--- a/modules/loop/signals/SignalWatch.h
+++ b/modules/loop/signals/SignalWatch.h
@@ -8,7 +8,7 @@
 
 namespace Greengage {
 
-/// Calls back from the loop each time the process gets a signal.
+/// Calls back from the event loop each time the process receives a signal.
 class SignalWatch {
 public:
     SignalWatch(event_base& base, int signal, std::function<void()> callback);
@@ -19,7 +19,7 @@
 
 private:
     std::function<void()> callback;
-    EventPointer<event> received;
+    EventPointer<event> signalEvent;
 };
 
 } // namespace Greengage
--- a/modules/loop/timers/Timer.cpp
+++ b/modules/loop/timers/Timer.cpp
@@ -7,7 +7,7 @@
 
 Timer::Timer(event_base& base, std::function<void()> callback)
     : callback(std::move(callback))
-    , timeout(event_new(
+    , timerEvent(event_new(
           &base, -1, 0, [](evutil_socket_t, short, void* timer) { static_cast<Timer*>(timer)->callback(); }, this))
 {
 }
@@ -16,14 +16,14 @@
 
 void Timer::schedule(Microseconds delay)
 {
-    constexpr Microseconds longest = Seconds(24 * 3600);
-    Microseconds bounded = std::clamp(delay, Microseconds::zero(), longest);
+    constexpr Microseconds maxDelay = Seconds(24 * 3600);
+    Microseconds boundedDelay = std::clamp(delay, Microseconds::zero(), maxDelay);
     timeval interval {};
-    interval.tv_sec = bounded / Seconds(1);
-    interval.tv_usec = (bounded % Seconds(1)).count();
-    event_add(this->timeout.get(), &interval);
+    interval.tv_sec = boundedDelay / Seconds(1);
+    interval.tv_usec = (boundedDelay % Seconds(1)).count();
+    event_add(this->timerEvent.get(), &interval);
 }
 
-void Timer::cancel() { event_del(this->timeout.get()); }
+void Timer::cancel() { event_del(this->timerEvent.get()); }
 
 } // namespace Greengage
--- a/modules/loop/timers/Timer.h
+++ b/modules/loop/timers/Timer.h
@@ -9,8 +9,8 @@
 
 namespace Greengage {
 
-/// Calls back once from the loop, some time after it is scheduled. Scheduling it again replaces the earlier schedule.
-/// It must not be destroyed from within its own callback.
+/// One-shot timer of the event loop. Scheduling it again replaces the earlier schedule. It must not be destroyed from
+/// within its own callback.
 class Timer {
 public:
     Timer(event_base& base, std::function<void()> callback);
@@ -19,13 +19,14 @@
     Timer(const Timer&) = delete;
     Timer& operator=(const Timer&) = delete;
 
-    /// Calls back after `delay`, or from the next turn of the loop if it is not above zero.
+    /// Calls back after `delay`, at most 24 hours, or in the next iteration of the event loop if `delay` is not
+    /// positive.
     void schedule(Microseconds delay);
     void cancel();
 
 private:
     std::function<void()> callback;
-    EventPointer<event> timeout;
+    EventPointer<event> timerEvent;
 };
 
 } // namespace Greengage
