--- a/modules/gateway/admin/AdminRequest.h
+++ b/modules/gateway/admin/AdminRequest.h
@@ -4,7 +4,7 @@
 
 namespace Greengage {
 
-/// An operator's request whose key has been accepted.
+/// An authorized request from an operator.
 struct AdminRequest {
     bool isPost = false;
     std::string path;
--- a/modules/gateway/admin/AdminResponse.h
+++ b/modules/gateway/admin/AdminResponse.h
@@ -4,7 +4,7 @@
 
 namespace Greengage {
 
-/// What an operator's request is answered with.
+/// The HTTP response to an operator's request.
 struct AdminResponse {
     int status = 200;
     std::string contentType = "application/json";
--- a/modules/gateway/admin/AdminServer.cpp
+++ b/modules/gateway/admin/AdminServer.cpp
@@ -19,7 +19,7 @@
 constexpr int statusUnauthorized = 401;
 constexpr std::string_view bearerPrefix = "Bearer ";
 
-std::string keyOf(const evhttp_request& request)
+std::string bearerKeyOf(const evhttp_request& request)
 {
     std::string text
         = headerValue(*evhttp_request_get_input_headers(const_cast<evhttp_request*>(&request)), "Authorization");
@@ -32,11 +32,11 @@
     : base(base)
     , handlers(std::move(handlers))
     , limiter(base, maxConnections, requestTimeout)
-    , self(std::make_shared<AdminServer*>(this))
+    , sharedSelf(std::make_shared<AdminServer*>(this))
 {
 }
 
-AdminServer::~AdminServer() { *this->self = nullptr; }
+AdminServer::~AdminServer() { *this->sharedSelf = nullptr; }
 
 Result<void, GatewayError> AdminServer::listen(const std::string& address, std::uint16_t port)
 {
@@ -59,8 +59,8 @@
 void AdminServer::handleRequest(evhttp_request& request)
 {
     evhttp_connection* connection = evhttp_request_get_connection(&request);
-    this->limiter.requestArrived(connection);
-    if (!this->handlers.isAuthorized(keyOf(request))) {
+    this->limiter.onRequestArrived(connection);
+    if (!this->handlers.isAuthorized(bearerKeyOf(request))) {
         this->send(request,
             { statusUnauthorized, "application/json", "{\"error\":\"the operators' key is missing or wrong\"}\n" });
         return;
@@ -69,16 +69,16 @@
     const char* path = uri ? evhttp_uri_get_path(uri) : nullptr;
     AdminRequest parsed { evhttp_request_get_command(&request) == EVHTTP_REQ_POST, path ? path : "",
         takeBytes(*evhttp_request_get_input_buffer(&request)) };
-    std::uint64_t id = this->open.add(request);
-    this->handlers.handle(parsed, [owner = this->self, id](const AdminResponse& response) {
-        if (*owner)
-            (*owner)->respond(id, response);
+    std::uint64_t id = this->openRequests.add(request);
+    this->handlers.handle(parsed, [server = this->sharedSelf, id](const AdminResponse& response) {
+        if (*server)
+            (*server)->respond(id, response);
     });
 }
 
 void AdminServer::respond(std::uint64_t id, const AdminResponse& response)
 {
-    if (evhttp_request* request = this->open.take(id))
+    if (evhttp_request* request = this->openRequests.take(id))
         this->send(*request, response);
 }
 
@@ -87,7 +87,7 @@
     evkeyvalq* headers = evhttp_request_get_output_headers(&request);
     evhttp_add_header(headers, "Content-Type", response.contentType.c_str());
     evbuffer_add(evhttp_request_get_output_buffer(&request), response.body.data(), response.body.size());
-    this->limiter.requestAnswered(evhttp_request_get_connection(&request));
+    this->limiter.onRequestAnswered(evhttp_request_get_connection(&request));
     evhttp_send_reply(&request, response.status, nullptr, nullptr);
 }
 
--- a/modules/gateway/admin/AdminServer.h
+++ b/modules/gateway/admin/AdminServer.h
@@ -17,15 +17,15 @@
 
 namespace Greengage {
 
-/// Serves operators over HTTP. Requests without the operators' key are refused here; the others go to the handler,
-/// which answers at once or later.
+/// HTTP server of the admin port. Refuses requests without the operators' key and passes the others to the handler,
+/// which may answer immediately or later.
 class AdminServer {
 public:
-    /// Answers one request; calling it more than once, or after the operator has left, does nothing.
+    /// Answers one request. Has no effect when called again or after the operator has disconnected.
     using Responder = std::function<void(const AdminResponse&)>;
 
     struct Handlers {
-        /// Whether a key that an operator has shown is the right one.
+        /// Whether the key in an operator's request is the operators' key.
         std::function<bool(const std::string& key)> isAuthorized;
         std::function<void(const AdminRequest&, Responder)> handle;
     };
@@ -36,9 +36,10 @@
     AdminServer(const AdminServer&) = delete;
     AdminServer& operator=(const AdminServer&) = delete;
 
-    /// Whether no operator waits for an answer.
-    bool isIdle() const { return this->open.size() == 0; }
+    /// Whether no request is waiting for an answer.
+    bool isIdle() const { return this->openRequests.size() == 0; }
 
+    /// Starts accepting connections. The error names the address that could not be bound, and the reason.
     Result<void, GatewayError> listen(const std::string& address, std::uint16_t port);
 
 private:
@@ -50,9 +51,9 @@
     Handlers handlers;
     ConnectionLimiter limiter;
     EventPointer<evhttp> server;
-    OpenRequests open;
-    /// Lets responders that outlive the server do nothing.
-    std::shared_ptr<AdminServer*> self;
+    OpenRequests openRequests;
+    /// Shared with the responders; set to null on destruction, so that those which outlive the server do nothing.
+    std::shared_ptr<AdminServer*> sharedSelf;
 };
 
 } // namespace Greengage
--- a/modules/gateway/callers/CallerLimits.h
+++ b/modules/gateway/callers/CallerLimits.h
@@ -6,15 +6,15 @@
 
 namespace Greengage {
 
-/// Bounds on what callers can make the daemon hold.
+/// Limits on the connections, memory and time that callers can take up in the daemon.
 struct CallerLimits {
-    /// Connections beyond this wait unaccepted in the kernel's backlog.
+    /// Further connections stay unaccepted in the kernel's listen backlog.
     int maxConnections = 1024;
     std::size_t maxHeaderBytes = 8 * 1024;
     std::size_t maxBodyBytes = 64 * 1024;
-    /// Sum over all requests that are held.
+    /// Total body size of all requests that have not been answered.
     std::size_t maxHeldBodyBytes = 16 * 1024 * 1024;
-    /// How long a connection may rest, and how long a request may take to arrive.
+    /// How long a connection may stay idle, and how long a request may take to arrive completely.
     Milliseconds idleTimeout { 30000 };
 };
 
--- a/modules/gateway/callers/CallerRefusal.h
+++ b/modules/gateway/callers/CallerRefusal.h
@@ -4,7 +4,7 @@
 
 namespace Greengage {
 
-/// Why the gateway refused a request before the request plane saw it.
+/// Why the gateway refused a request without passing it to the request plane.
 enum class CallerRefusal {
     Malformed,
     UnknownPath,
--- a/modules/gateway/callers/CallerServer.cpp
+++ b/modules/gateway/callers/CallerServer.cpp
@@ -34,10 +34,10 @@
 
 } // namespace
 
-CallerServer::CallerServer(event_base& base, const CallerLimits& limits, IncarnationId self, Handlers handlers)
+CallerServer::CallerServer(event_base& base, const CallerLimits& limits, IncarnationId incarnation, Handlers handlers)
     : base(base)
     , limits(limits)
-    , self(std::move(self))
+    , incarnation(std::move(incarnation))
     , handlers(std::move(handlers))
     , limiter(base, limits.maxConnections, limits.idleTimeout)
 {
@@ -45,7 +45,7 @@
 
 CallerServer::~CallerServer()
 {
-    for (auto& [connection, request] : this->callOfConnection)
+    for (auto& [connection, request] : this->requestOfConnection)
         evhttp_connection_set_closecb(connection, nullptr, nullptr);
 }
 
@@ -77,25 +77,25 @@
     this->socket = nullptr;
 }
 
-PendingCall* CallerServer::find(const RequestId& request)
+PendingRequest* CallerServer::findPending(const RequestId& request)
 {
-    auto found = this->calls.find(request);
-    return found == this->calls.end() ? nullptr : &found->second;
+    auto found = this->pendingRequests.find(request);
+    return found == this->pendingRequests.end() ? nullptr : &found->second;
 }
 
 void CallerServer::handleRequest(evhttp_request& request)
 {
-    this->limiter.requestArrived(evhttp_request_get_connection(&request));
+    this->limiter.onRequestArrived(evhttp_request_get_connection(&request));
     std::string path = pathOf(request);
     evhttp_cmd_type method = evhttp_request_get_command(&request);
-    bool isPage = path == "/healthz" || path == "/metrics";
-    bool isQueue = path.compare(0, queuesPrefix.size(), queuesPrefix) == 0;
-    if (!isPage && !isQueue)
-        this->refuse(request, CallerRefusal::UnknownPath, "use POST /v1/queues/<queue>");
-    else if (method != (isPage ? EVHTTP_REQ_GET : EVHTTP_REQ_POST))
-        this->refuse(request, CallerRefusal::MethodNotAllowed, isPage ? "use GET" : "use POST");
-    else if (isQueue)
-        this->acceptCall(request, path.substr(queuesPrefix.size()));
+    bool isStatusPage = path == "/healthz" || path == "/metrics";
+    bool isQueueRequest = path.compare(0, queuesPrefix.size(), queuesPrefix) == 0;
+    if (!isStatusPage && !isQueueRequest)
+        this->refuse(request, CallerRefusal::UnknownPath, "unknown path; use POST /v1/queues/<queue>");
+    else if (method != (isStatusPage ? EVHTTP_REQ_GET : EVHTTP_REQ_POST))
+        this->refuse(request, CallerRefusal::MethodNotAllowed, isStatusPage ? "use GET" : "use POST");
+    else if (isQueueRequest)
+        this->acceptRequest(request, path.substr(queuesPrefix.size()));
     else if (path == "/metrics")
         this->send(
             request, { statusOk, { { "Content-Type", "text/plain; version=0.0.4" } }, this->handlers.metricsPage() });
@@ -105,7 +105,7 @@
         this->send(request, { statusUnavailable, {}, "not serving\n" });
 }
 
-void CallerServer::acceptCall(evhttp_request& request, const std::string& queue)
+void CallerServer::acceptRequest(evhttp_request& request, const std::string& queue)
 {
     auto parsed = parseRequestHeaders(*evhttp_request_get_input_headers(&request), BootClock::now());
     if (!parsed.has_value()) {
@@ -113,34 +113,36 @@
         return;
     }
     if (queue.empty() || queue.size() > maxQueueNameBytes) {
-        this->refuse(request, CallerRefusal::Malformed, "a queue's name has 1 to 128 bytes");
+        this->refuse(request, CallerRefusal::Malformed, "the queue name must have 1 to 128 bytes");
         return;
     }
     evbuffer& body = *evhttp_request_get_input_buffer(&request);
     RequestArrived arrived = std::move(parsed.value());
     arrived.bodyBytes = evbuffer_get_length(&body);
     if (this->heldBodyBytes + arrived.bodyBytes > this->limits.maxHeldBodyBytes) {
-        this->refuse(request, CallerRefusal::BodiesFull, "the daemon holds as many bytes of requests as it may");
+        this->refuse(request, CallerRefusal::BodiesFull, "the daemon already holds its limit of request body bytes");
         return;
     }
-    arrived.request = RequestId(this->self.string() + "-" + std::to_string(this->nextRequest++));
+    arrived.request = RequestId(this->incarnation.string() + "-" + std::to_string(this->nextRequestNumber++));
     arrived.queue = QueueId(queue);
     this->heldBodyBytes += arrived.bodyBytes;
-    this->calls.emplace(
-        arrived.request, PendingCall { &request, arrived.queue, BootClock::now(), takeBytes(body), {} });
+    this->pendingRequests.emplace(
+        arrived.request, PendingRequest { &request, arrived.queue, BootClock::now(), takeBytes(body), {} });
     evhttp_connection* connection = evhttp_request_get_connection(&request);
-    this->callOfConnection[connection] = arrived.request;
+    this->requestOfConnection[connection] = arrived.request;
     this->watchForClose(connection);
-    this->handlers.requestArrived(std::move(arrived));
+    this->handlers.onRequestArrived(std::move(arrived));
 }
 
-/// Reads on while a request waits for its answer, because a caller that leaves is seen only by a read. What a caller
-/// sends ahead stays in the buffer, up to the size of one request's headers.
+/// Keeps reading while a request waits for its answer, because only a read detects that the caller has disconnected.
+/// Bytes that the caller sends early stay in the buffer, up to the size of one request's headers.
 void CallerServer::watchForClose(evhttp_connection* connection)
 {
     evhttp_connection_set_closecb(
         connection,
-        [](evhttp_connection* closed, void* server) { static_cast<CallerServer*>(server)->handleClosed(closed); },
+        [](evhttp_connection* closed, void* server) {
+            static_cast<CallerServer*>(server)->handleConnectionClosed(closed);
+        },
         this);
     bufferevent* transport = evhttp_connection_get_bufferevent(connection);
     bufferevent_data_cb writeCallback = nullptr;
@@ -152,52 +154,52 @@
     bufferevent_enable(transport, EV_READ);
 }
 
-void CallerServer::handleClosed(evhttp_connection* connection)
+void CallerServer::handleConnectionClosed(evhttp_connection* connection)
 {
-    auto found = this->callOfConnection.find(connection);
-    if (found == this->callOfConnection.end())
+    auto found = this->requestOfConnection.find(connection);
+    if (found == this->requestOfConnection.end())
         return;
     RequestId request = found->second;
-    evhttp_request* handle = this->calls.at(request).handle;
-    this->release(request, connection);
-    // evhttp takes an unanswered request off a connection that breaks, and leaves it to us.
-    if (!evhttp_request_get_connection(handle))
-        evhttp_request_free(handle);
-    this->handlers.callerLeft({ request });
+    evhttp_request* httpRequest = this->pendingRequests.at(request).httpRequest;
+    this->removePending(request, connection);
+    // When a connection breaks, evhttp detaches its unanswered request without freeing it.
+    if (!evhttp_request_get_connection(httpRequest))
+        evhttp_request_free(httpRequest);
+    this->handlers.onCallerLeft({ request });
 }
 
 void CallerServer::answer(const AnswerCaller& answer)
 {
-    PendingCall* call = this->find(answer.request);
-    if (!call)
+    PendingRequest* pending = this->findPending(answer.request);
+    if (!pending)
         return;
-    evhttp_request& handle = *call->handle;
+    evhttp_request& httpRequest = *pending->httpRequest;
     OutcomeResponse response;
-    auto endpointAnswer = call->answers.find(answer.attempt);
-    if (answer.outcome == Outcome::Answered && endpointAnswer != call->answers.end())
+    auto endpointAnswer = pending->answers.find(answer.attempt);
+    if (answer.outcome == Outcome::Answered && endpointAnswer != pending->answers.end())
         response = toAnsweredResponse(answer, endpointAnswer->second);
     else
         response = toUnansweredResponse(answer);
-    this->handlers.answered(answer, call->queue, BootClock::now() - call->arrivedAt);
-    evhttp_connection* connection = evhttp_request_get_connection(&handle);
-    this->release(answer.request, connection);
+    this->handlers.onAnswered(answer, pending->queue, BootClock::now() - pending->arrivedAt);
+    evhttp_connection* connection = evhttp_request_get_connection(&httpRequest);
+    this->removePending(answer.request, connection);
     evhttp_connection_set_closecb(connection, nullptr, nullptr);
     bufferevent_setwatermark(evhttp_connection_get_bufferevent(connection), EV_READ, 0, 0);
-    this->send(handle, response);
+    this->send(httpRequest, response);
 }
 
-/// Forgets a request; its handle stays valid for whoever answers it next.
-void CallerServer::release(const RequestId& request, evhttp_connection* connection)
+/// Removes a pending request. Its evhttp_request stays valid, so that the caller of this function can answer it.
+void CallerServer::removePending(const RequestId& request, evhttp_connection* connection)
 {
-    auto found = this->calls.find(request);
-    this->callOfConnection.erase(connection);
+    auto found = this->pendingRequests.find(request);
+    this->requestOfConnection.erase(connection);
     this->heldBodyBytes -= found->second.body.size();
-    this->calls.erase(found);
+    this->pendingRequests.erase(found);
 }
 
 void CallerServer::refuse(evhttp_request& request, CallerRefusal refusal, const std::string& detail)
 {
-    this->handlers.refused(refusal);
+    this->handlers.onRefused(refusal);
     this->send(request, toRefusalResponse(refusal, detail));
 }
 
@@ -210,7 +212,7 @@
         evhttp_add_header(headers, "Connection", "close");
     evbuffer* body = evhttp_request_get_output_buffer(&request);
     evbuffer_add(body, response.body.data(), response.body.size());
-    this->limiter.requestAnswered(evhttp_request_get_connection(&request));
+    this->limiter.onRequestAnswered(evhttp_request_get_connection(&request));
     evhttp_send_reply(&request, response.status, nullptr, nullptr);
 }
 
--- a/modules/gateway/callers/CallerServer.h
+++ b/modules/gateway/callers/CallerServer.h
@@ -5,7 +5,7 @@
 #include <gateway/callers/CallerLimits.h>
 #include <gateway/callers/CallerRefusal.h>
 #include <gateway/callers/ConnectionLimiter.h>
-#include <gateway/callers/PendingCall.h>
+#include <gateway/callers/PendingRequest.h>
 #include <gateway/http/GatewayError.h>
 
 #include <cstdint>
@@ -23,67 +23,67 @@
 struct OutcomeResponse;
 struct RequestArrived;
 
-/// Serves callers over HTTP. It parses requests, keeps their bodies and answers them when told to.
+/// HTTP server for callers. Parses requests, holds their bodies, and sends each answer when `answer` is called.
 class CallerServer {
 public:
     struct Handlers {
-        std::function<void(RequestArrived)> requestArrived;
-        std::function<void(CallerLeft)> callerLeft;
-        /// A request has been answered, `latency` after it had come whole.
-        std::function<void(const AnswerCaller&, const QueueId&, Microseconds latency)> answered;
-        /// A request was refused before it got an id.
-        std::function<void(CallerRefusal)> refused;
-        /// Whether the daemon serves, for GET /healthz.
+        std::function<void(RequestArrived)> onRequestArrived;
+        std::function<void(CallerLeft)> onCallerLeft;
+        /// A request was answered, `latency` after it had arrived completely.
+        std::function<void(const AnswerCaller&, const QueueId&, Microseconds latency)> onAnswered;
+        /// A request was refused before an id was assigned to it.
+        std::function<void(CallerRefusal)> onRefused;
+        /// Whether GET /healthz reports that the daemon is serving.
         std::function<bool()> isHealthy;
-        /// The text of GET /metrics.
+        /// The body of the response to GET /metrics.
         std::function<std::string()> metricsPage;
     };
 
-    CallerServer(event_base&, const CallerLimits&, IncarnationId self, Handlers);
+    CallerServer(event_base&, const CallerLimits&, IncarnationId incarnation, Handlers);
     ~CallerServer();
 
     CallerServer(const CallerServer&) = delete;
     CallerServer& operator=(const CallerServer&) = delete;
 
-    /// Starts to accept connections. The error says which address could not be bound and why.
+    /// Starts accepting connections. The error names the address that could not be bound, and the reason.
     Result<void, GatewayError> listen(const std::string& address, std::uint16_t port);
 
-    /// From now on every answer asks the caller to close its connection.
+    /// From now on every response carries `Connection: close`.
     void beginClosing() { this->isClosing = true; }
 
-    /// Accepts no more connections; those that are open are served on.
+    /// Stops accepting connections; open connections are still served.
     void closeListener();
 
-    /// The request as it was kept, or null if its caller has left or it has been answered.
-    PendingCall* find(const RequestId&);
+    /// The pending request, or null if it has been answered or its caller has disconnected.
+    PendingRequest* findPending(const RequestId&);
 
-    /// Answers a request. Does nothing if its caller has left.
+    /// Answers a request. Does nothing if its caller has disconnected.
     void answer(const AnswerCaller&);
 
-    std::size_t pendingCalls() const { return this->calls.size(); }
-    int connections() const { return this->limiter.connections(); }
+    std::size_t pendingRequestCount() const { return this->pendingRequests.size(); }
+    int connectionCount() const { return this->limiter.connectionCount(); }
 
 private:
     void handleRequest(evhttp_request&);
-    void acceptCall(evhttp_request&, const std::string& queue);
+    void acceptRequest(evhttp_request&, const std::string& queue);
     void watchForClose(evhttp_connection*);
-    void handleClosed(evhttp_connection*);
+    void handleConnectionClosed(evhttp_connection*);
     void refuse(evhttp_request&, CallerRefusal, const std::string& detail);
     void send(evhttp_request&, const OutcomeResponse&);
-    void release(const RequestId&, evhttp_connection*);
+    void removePending(const RequestId&, evhttp_connection*);
 
     event_base& base;
     CallerLimits limits;
-    IncarnationId self;
+    IncarnationId incarnation;
     Handlers handlers;
     ConnectionLimiter limiter;
     EventPointer<evhttp> server;
     evhttp_bound_socket* socket = nullptr;
     bool isClosing = false;
-    std::uint64_t nextRequest = 1;
+    std::uint64_t nextRequestNumber = 1;
     std::size_t heldBodyBytes = 0;
-    std::unordered_map<RequestId, PendingCall> calls;
-    std::unordered_map<evhttp_connection*, RequestId> callOfConnection;
+    std::unordered_map<RequestId, PendingRequest> pendingRequests;
+    std::unordered_map<evhttp_connection*, RequestId> requestOfConnection;
 };
 
 } // namespace Greengage
--- a/modules/gateway/callers/ConnectionLimiter.cpp
+++ b/modules/gateway/callers/ConnectionLimiter.cpp
@@ -13,10 +13,11 @@
 namespace {
 
 constexpr Milliseconds sweepInterval { 100 };
-/// evhttp's own timeout would also end connections that wait for their answer, so it is kept out of the way.
+/// evhttp's own timeout would also close connections that wait for their answer, so it is set too high to take effect
+/// before the deadlines of ConnectionLimiter.
 constexpr int serverTimeoutSeconds = 24 * 3600;
 
-/// evhttp takes its callbacks off when it frees a connection.
+/// evhttp clears its callbacks on a bufferevent when it frees the connection.
 bool isFreed(bufferevent* transport)
 {
     bufferevent_event_cb eventCallback = nullptr;
@@ -29,19 +30,19 @@
 ConnectionLimiter::ConnectionLimiter(event_base& base, int maxConnections, Milliseconds requestTimeout)
     : maxConnections(maxConnections)
     , requestTimeout(requestTimeout)
-    , sweep(base, [this] {
-        this->dropFreed();
-        this->closeOverdue();
-        this->sweep.schedule(sweepInterval);
+    , sweepTimer(base, [this] {
+        this->removeFreed();
+        this->closeTimedOut();
+        this->sweepTimer.schedule(sweepInterval);
     })
 {
-    this->sweep.schedule(sweepInterval);
+    this->sweepTimer.schedule(sweepInterval);
 }
 
 ConnectionLimiter::~ConnectionLimiter()
 {
-    for (const auto& [transport, deadline] : this->nextRequestBy) {
-        assertInvariant(isFreed(transport), "the server is freed first");
+    for (const auto& [transport, deadline] : this->requestDeadlines) {
+        assertInvariant(isFreed(transport), "the HTTP server is destroyed before its connection limiter");
         bufferevent_decref(transport);
     }
 }
@@ -50,59 +51,59 @@
 {
     this->socket = &boundSocket;
     evhttp_set_timeout(&server, serverTimeoutSeconds);
-    evhttp_set_bevcb(&server, &ConnectionLimiter::makeTransport, this);
+    evhttp_set_bevcb(&server, &ConnectionLimiter::createTransport, this);
 }
 
-/// evhttp does not report that it has freed a connection, so a reference to each is held and looked at from time to
-/// time.
-bufferevent* ConnectionLimiter::makeTransport(event_base* base, void* limiter)
+/// evhttp does not report that it has freed a connection, so this object holds a reference to each bufferevent and
+/// checks it periodically.
+bufferevent* ConnectionLimiter::createTransport(event_base* base, void* limiter)
 {
     auto* self = static_cast<ConnectionLimiter*>(limiter);
     bufferevent* transport = bufferevent_socket_new(base, -1, BEV_OPT_CLOSE_ON_FREE);
-    assertInvariant(transport, "bufferevent_socket_new gives an object");
+    assertInvariant(transport, "bufferevent_socket_new returns an object");
     bufferevent_incref(transport);
-    self->nextRequestBy[transport] = Deadline::after(BootClock::now(), self->requestTimeout);
-    self->limitAccepting();
+    self->requestDeadlines[transport] = Deadline::after(BootClock::now(), self->requestTimeout);
+    self->updateAccepting();
     return transport;
 }
 
-void ConnectionLimiter::dropFreed()
+void ConnectionLimiter::removeFreed()
 {
-    std::erase_if(this->nextRequestBy, [](const auto& entry) {
+    std::erase_if(this->requestDeadlines, [](const auto& entry) {
         if (!isFreed(entry.first))
             return false;
         bufferevent_decref(entry.first);
         return true;
     });
-    this->limitAccepting();
+    this->updateAccepting();
 }
 
-void ConnectionLimiter::limitAccepting()
+void ConnectionLimiter::updateAccepting()
 {
     if (!this->socket)
         return;
     evconnlistener* listener = evhttp_bound_socket_get_listener(this->socket);
-    if (this->connections() >= this->maxConnections)
+    if (this->connectionCount() >= this->maxConnections)
         evconnlistener_disable(listener);
     else
         evconnlistener_enable(listener);
 }
 
-void ConnectionLimiter::requestArrived(evhttp_connection* connection)
+void ConnectionLimiter::onRequestArrived(evhttp_connection* connection)
 {
-    this->nextRequestBy[evhttp_connection_get_bufferevent(connection)] = Deadline::never();
+    this->requestDeadlines[evhttp_connection_get_bufferevent(connection)] = Deadline::never();
 }
 
-void ConnectionLimiter::requestAnswered(evhttp_connection* connection)
+void ConnectionLimiter::onRequestAnswered(evhttp_connection* connection)
 {
-    this->nextRequestBy[evhttp_connection_get_bufferevent(connection)]
+    this->requestDeadlines[evhttp_connection_get_bufferevent(connection)]
         = Deadline::after(BootClock::now(), this->requestTimeout);
 }
 
-void ConnectionLimiter::closeOverdue()
+void ConnectionLimiter::closeTimedOut()
 {
     Instant now = BootClock::now();
-    for (auto& [transport, deadline] : this->nextRequestBy) {
+    for (auto& [transport, deadline] : this->requestDeadlines) {
         if (deadline.hasPassed(now))
             ::shutdown(bufferevent_getfd(transport), SHUT_RDWR);
     }
--- a/modules/gateway/callers/ConnectionLimiter.h
+++ b/modules/gateway/callers/ConnectionLimiter.h
@@ -13,8 +13,8 @@
 
 namespace Greengage {
 
-/// Bounds how many connections an HTTP server has open and how long each may take to bring its next whole request and
-/// to take its last response. It must be destroyed after the server.
+/// Limits how many connections an HTTP server has open, and how long a client may take to receive the last response and
+/// send its next complete request. It must be destroyed after the server.
 class ConnectionLimiter {
 public:
     ConnectionLimiter(event_base&, int maxConnections, Milliseconds requestTimeout);
@@ -23,32 +23,34 @@
     ConnectionLimiter(const ConnectionLimiter&) = delete;
     ConnectionLimiter& operator=(const ConnectionLimiter&) = delete;
 
-    /// Watches the connections that `server` accepts on `socket`. Call it once, before the loop runs.
+    /// Monitors the connections that `server` accepts on `socket`. Call it once, before the event loop runs.
     void attach(evhttp& server, evhttp_bound_socket& socket);
 
-    /// A whole request has come; the connection may rest until it is answered.
-    void requestArrived(evhttp_connection*);
+    /// A complete request has arrived; the connection has no deadline until it is answered.
+    void onRequestArrived(evhttp_connection*);
 
-    /// The request is answered; the response must be taken and the next request must come within the timeout.
-    void requestAnswered(evhttp_connection*);
+    /// The request has been answered; the client must receive the response and send its next request within the
+    /// timeout.
+    void onRequestAnswered(evhttp_connection*);
 
-    /// Forgets the socket, which its server is about to close.
+    /// Stops using the socket. Call it before the server closes the socket.
     void detach() { this->socket = nullptr; }
 
-    int connections() const { return static_cast<int>(this->nextRequestBy.size()); }
+    int connectionCount() const { return static_cast<int>(this->requestDeadlines.size()); }
 
 private:
-    static bufferevent* makeTransport(event_base*, void* limiter);
-    void limitAccepting();
-    void dropFreed();
-    void closeOverdue();
+    static bufferevent* createTransport(event_base*, void* limiter);
+    void updateAccepting();
+    void removeFreed();
+    void closeTimedOut();
 
     int maxConnections;
     Milliseconds requestTimeout;
     evhttp_bound_socket* socket = nullptr;
-    /// Each connection's transport, of which this object holds one reference.
-    std::unordered_map<bufferevent*, Deadline> nextRequestBy;
-    Timer sweep;
+    /// When each connection must have sent its next complete request. This object holds one reference to each
+    /// connection's bufferevent.
+    std::unordered_map<bufferevent*, Deadline> requestDeadlines;
+    Timer sweepTimer;
 };
 
 } // namespace Greengage
--- a/modules/gateway/callers/OutcomeResponse.cpp
+++ b/modules/gateway/callers/OutcomeResponse.cpp
@@ -82,7 +82,7 @@
     return headers;
 }
 
-/// Retry-After counts whole seconds, so a shorter wait is rounded up.
+/// Retry-After is in whole seconds, so the wait is rounded up.
 std::string toRetryAfterSeconds(Milliseconds wait) { return std::to_string((wait.count() + 999) / 1000); }
 
 } // namespace
--- a/modules/gateway/callers/OutcomeResponse.h
+++ b/modules/gateway/callers/OutcomeResponse.h
@@ -19,13 +19,13 @@
     std::string body;
 };
 
-/// Passes an endpoint's answer on.
+/// Converts an endpoint's answer to the response for the caller.
 OutcomeResponse toAnsweredResponse(const AnswerCaller&, const EndpointAnswer&);
 
-/// Tells the caller that its request was not run, or that its outcome is unknown.
+/// The response for a request that was not run or whose outcome is unknown.
 OutcomeResponse toUnansweredResponse(const AnswerCaller&);
 
-/// Refuses a request that the gateway did not pass on. `detail` says what was wrong with it.
+/// The response for a request that the gateway refused. `detail` states what was wrong with the request.
 OutcomeResponse toRefusalResponse(CallerRefusal, const std::string& detail);
 
 } // namespace Greengage
--- a/modules/gateway/callers/PendingRequest.h
+++ b/modules/gateway/callers/PendingRequest.h
@@ -12,12 +12,12 @@
 namespace Greengage {
 
 /// A caller's request that has not been answered yet.
-struct PendingCall {
-    evhttp_request* handle = nullptr;
+struct PendingRequest {
+    evhttp_request* httpRequest = nullptr;
     QueueId queue;
     Instant arrivedAt;
     std::string body;
-    /// Whole answers of endpoints, by the number of the attempt.
+    /// Complete answers from endpoints, by attempt number.
     std::map<int, EndpointAnswer> answers;
 };
 
--- a/modules/gateway/callers/RequestParser.h
+++ b/modules/gateway/callers/RequestParser.h
@@ -11,8 +11,8 @@
 
 namespace Greengage {
 
-/// Reads what the request plane needs from a caller's headers; the request's id and queue are left to the caller of
-/// this function. The error names the header and what would be right.
+/// Parses the headers of a caller's request. The request's id, queue and body size are left for the caller of this
+/// function to fill in. The error names the header at fault and the expected form.
 Result<RequestArrived, GatewayError> parseRequestHeaders(const evkeyvalq& headers, Instant now);
 
 } // namespace Greengage
--- a/modules/gateway/endpoints/EndpointAddress.h
+++ b/modules/gateway/endpoints/EndpointAddress.h
@@ -7,8 +7,8 @@
 
 namespace Greengage {
 
-/// Where an endpoint listens. The VM is part of it: a connection made for one VM is never used for another that has
-/// taken over its address.
+/// Where an endpoint listens. It includes the VM, so that a connection opened to one VM is never reused for another VM
+/// that has been given the same address.
 struct EndpointAddress {
     VmId vm;
     std::string address;
--- a/modules/gateway/endpoints/EndpointAnswer.h
+++ b/modules/gateway/endpoints/EndpointAnswer.h
@@ -4,7 +4,7 @@
 
 namespace Greengage {
 
-/// The whole answer of an endpoint to one attempt.
+/// An endpoint's complete answer to one attempt.
 struct EndpointAnswer {
     int status = 0;
     std::string contentType;
--- a/modules/gateway/endpoints/EndpointClient.cpp
+++ b/modules/gateway/endpoints/EndpointClient.cpp
@@ -15,8 +15,8 @@
 
 namespace {
 
-/// Resting connections are closed so that an endpoint has no more than this many from one daemon, unless as many are at
-/// work.
+/// Idle connections are closed so that one daemon has at most this many connections to an endpoint. Only active
+/// exchanges may exceed it.
 constexpr std::size_t maxConnectionsPerEndpoint = 8;
 constexpr Seconds idleTimeout { 15 };
 constexpr Seconds sweepInterval { 1 };
@@ -45,7 +45,7 @@
 }
 
 ExchangeRequest toExchange(
-    const SendAttempt& attempt, const QueueId& queue, const std::string& body, const IncarnationId& self)
+    const SendAttempt& attempt, const QueueId& queue, const std::string& body, const IncarnationId& incarnation)
 {
     ExchangeRequest request;
     request.isPost = true;
@@ -54,7 +54,7 @@
         { HeaderNames::request, attempt.request.string() },
         { HeaderNames::attempt, std::to_string(attempt.attempt) },
         { HeaderNames::team, attempt.team.string() },
-        { HeaderNames::incarnation, self.string() },
+        { HeaderNames::incarnation, incarnation.string() },
         { HeaderNames::queue, queue.string() },
         { HeaderNames::endpoint, attempt.endpoint.string() },
         { "Content-Type", "application/octet-stream" },
@@ -67,17 +67,17 @@
 
 } // namespace
 
-EndpointClient::EndpointClient(event_base& base, std::string sourceAddress, IncarnationId self)
+EndpointClient::EndpointClient(event_base& base, std::string sourceAddress, IncarnationId incarnation)
     : base(base)
     , sourceAddress(std::move(sourceAddress))
-    , self(std::move(self))
-    , cleanup(base, [this] { this->retired.clear(); })
-    , sweep(base, [this] {
+    , incarnation(std::move(incarnation))
+    , retireTimer(base, [this] { this->retired.clear(); })
+    , sweepTimer(base, [this] {
         this->closeExpired();
-        this->sweep.schedule(sweepInterval);
+        this->sweepTimer.schedule(sweepInterval);
     })
 {
-    this->sweep.schedule(sweepInterval);
+    this->sweepTimer.schedule(sweepInterval);
 }
 
 EndpointClient::~EndpointClient() = default;
@@ -94,7 +94,8 @@
         attemptEnded(ended, std::move(answer));
     };
     EndpointAddress address { attempt.endpoint, attempt.address, attempt.port };
-    this->exchange(address, attempt.freshConnection, toExchange(attempt, queue, body, this->self), std::move(finished));
+    this->exchange(
+        address, attempt.freshConnection, toExchange(attempt, queue, body, this->incarnation), std::move(finished));
 }
 
 void EndpointClient::askRunning(const AskRunning& question, RunningCallback reported)
@@ -121,66 +122,67 @@
 void EndpointClient::exchange(
     const EndpointAddress& address, bool freshConnection, const ExchangeRequest& request, ExchangeCallback finished)
 {
-    ConnectionPointer connection = this->takeConnection(address, freshConnection);
-    EndpointConnection& started = *connection;
-    std::uint64_t id = this->nextExchange++;
-    this->busy.emplace(id, std::move(connection));
-    ++this->busyAt[address];
+    ConnectionPointer connection = this->acquireConnection(address, freshConnection);
+    EndpointConnection& activeConnection = *connection;
+    std::uint64_t id = this->nextExchangeId++;
+    this->activeExchanges.emplace(id, std::move(connection));
+    ++this->activeCountByEndpoint[address];
     std::string expectedEcho;
     for (const HttpHeader& header : request.headers) {
         if (header.name == HeaderNames::request)
             expectedEcho = header.value;
     }
-    started.start(request, [this, id, expectedEcho, finished = std::move(finished)](ExchangeResult result) {
-        bool ownAnswer = result.end == ExchangeEnd::Completed && result.echoedRequest == expectedEcho;
-        this->release(id, ownAnswer);
+    activeConnection.start(request, [this, id, expectedEcho, finished = std::move(finished)](ExchangeResult result) {
+        bool isMatchingAnswer = result.end == ExchangeEnd::Completed && result.echoedRequest == expectedEcho;
+        this->release(id, isMatchingAnswer);
         finished(std::move(result));
     });
 }
 
-EndpointClient::ConnectionPointer EndpointClient::takeConnection(const EndpointAddress& address, bool freshConnection)
+EndpointClient::ConnectionPointer EndpointClient::acquireConnection(
+    const EndpointAddress& address, bool freshConnection)
 {
-    auto found = this->idle.find(address);
-    while (!freshConnection && found != this->idle.end() && !found->second.empty()) {
+    auto found = this->idleConnections.find(address);
+    while (!freshConnection && found != this->idleConnections.end() && !found->second.empty()) {
         ConnectionPointer connection = std::move(found->second.back());
         found->second.pop_back();
         if (connection->isReusable())
             return connection;
         this->retire(std::move(connection));
     }
-    if (found != this->idle.end() && !found->second.empty()
-        && this->connectionsTo(address) >= maxConnectionsPerEndpoint) {
+    if (found != this->idleConnections.end() && !found->second.empty()
+        && this->connectionCountTo(address) >= maxConnectionsPerEndpoint) {
         this->retire(std::move(found->second.front()));
         found->second.erase(found->second.begin());
     }
     return std::make_unique<EndpointConnection>(this->base, address, this->sourceAddress);
 }
 
-std::size_t EndpointClient::connectionsTo(const EndpointAddress& address) const
+std::size_t EndpointClient::connectionCountTo(const EndpointAddress& address) const
 {
-    auto resting = this->idle.find(address);
-    auto working = this->busyAt.find(address);
-    return (resting == this->idle.end() ? 0 : resting->second.size())
-        + (working == this->busyAt.end() ? 0 : working->second);
+    auto idle = this->idleConnections.find(address);
+    auto active = this->activeCountByEndpoint.find(address);
+    return (idle == this->idleConnections.end() ? 0 : idle->second.size())
+        + (active == this->activeCountByEndpoint.end() ? 0 : active->second);
 }
 
 void EndpointClient::retire(ConnectionPointer connection)
 {
     this->retired.push_back(std::move(connection));
-    this->cleanup.schedule(Microseconds::zero());
+    this->retireTimer.schedule(Microseconds::zero());
 }
 
 void EndpointClient::release(std::uint64_t exchange, bool keep)
 {
-    auto found = this->busy.find(exchange);
+    auto found = this->activeExchanges.find(exchange);
     ConnectionPointer connection = std::move(found->second);
-    this->busy.erase(found);
+    this->activeExchanges.erase(found);
     const EndpointAddress& address = connection->address();
-    if (--this->busyAt[address] == 0)
-        this->busyAt.erase(address);
-    if (keep && connection->isReusable() && this->connectionsTo(address) < maxConnectionsPerEndpoint) {
+    if (--this->activeCountByEndpoint[address] == 0)
+        this->activeCountByEndpoint.erase(address);
+    if (keep && connection->isReusable() && this->connectionCountTo(address) < maxConnectionsPerEndpoint) {
         connection->idleUntil = Deadline::after(BootClock::now(), idleTimeout);
-        this->idle[address].push_back(std::move(connection));
+        this->idleConnections[address].push_back(std::move(connection));
     } else
         this->retire(std::move(connection));
 }
@@ -188,12 +190,12 @@
 void EndpointClient::closeExpired()
 {
     Instant now = BootClock::now();
-    for (auto& [address, connections] : this->idle) {
+    for (auto& [address, connections] : this->idleConnections) {
         std::erase_if(connections, [now](const ConnectionPointer& connection) {
             return !connection->isReusable() || connection->idleUntil.hasPassed(now);
         });
     }
-    std::erase_if(this->idle, [](const auto& entry) { return entry.second.empty(); });
+    std::erase_if(this->idleConnections, [](const auto& entry) { return entry.second.empty(); });
 }
 
 } // namespace Greengage
--- a/modules/gateway/endpoints/EndpointClient.h
+++ b/modules/gateway/endpoints/EndpointClient.h
@@ -25,17 +25,17 @@
 struct RunningReported;
 struct SendAttempt;
 
-/// Sends attempts to endpoints over HTTP connections that it keeps and reuses. Every attempt ends in exactly one call
-/// of `attemptEnded`, from the loop and never from within `send`. A connection whose exchange did not complete, or
-/// whose answer was not for the request sent, is closed and never used again.
+/// Sends attempts to endpoints over persistent HTTP connections. `attemptEnded` is called exactly once per attempt,
+/// from the event loop and never from within `send`. A connection is closed and not reused if its exchange did not
+/// complete or its answer was for another request than the one sent.
 class EndpointClient {
 public:
-    /// An attempt has ended. The answer is filled for AttemptResult::Answered only.
+    /// An attempt has ended. The answer is set for AttemptResult::Answered only.
     using AttemptCallback = std::function<void(const AttemptEnded&, EndpointAnswer)>;
     using RunningCallback = std::function<void(RunningReported)>;
 
     /// `sourceAddress` is the local address that connections are bound to.
-    EndpointClient(event_base&, std::string sourceAddress, IncarnationId self);
+    EndpointClient(event_base&, std::string sourceAddress, IncarnationId incarnation);
     ~EndpointClient();
 
     EndpointClient(const EndpointClient&) = delete;
@@ -43,36 +43,37 @@
 
     void send(const SendAttempt&, const QueueId&, const std::string& body, AttemptCallback attemptEnded);
 
-    /// Asks an endpoint what it is running. Calls back only if it answers in time with a well-formed list.
+    /// Queries which requests an endpoint is running. `reported` is called only if the endpoint answers in time with a
+    /// well-formed list.
     void askRunning(const AskRunning&, RunningCallback reported);
 
-    /// How many exchanges are under way.
-    std::size_t active() const { return this->busy.size(); }
+    /// The number of exchanges in progress.
+    std::size_t activeExchangeCount() const { return this->activeExchanges.size(); }
 
-    /// How many connections to an endpoint are open, resting ones included.
-    std::size_t connectionsTo(const EndpointAddress&) const;
+    /// The number of open connections to an endpoint, idle ones included.
+    std::size_t connectionCountTo(const EndpointAddress&) const;
 
 private:
     using ExchangeCallback = std::function<void(ExchangeResult)>;
     using ConnectionPointer = std::unique_ptr<EndpointConnection>;
 
     void exchange(const EndpointAddress&, bool freshConnection, const ExchangeRequest&, ExchangeCallback);
-    ConnectionPointer takeConnection(const EndpointAddress&, bool freshConnection);
+    ConnectionPointer acquireConnection(const EndpointAddress&, bool freshConnection);
     void release(std::uint64_t exchange, bool keep);
     void retire(ConnectionPointer);
     void closeExpired();
 
     event_base& base;
     std::string sourceAddress;
-    IncarnationId self;
-    std::uint64_t nextExchange = 1;
-    std::unordered_map<std::uint64_t, ConnectionPointer> busy;
-    std::map<EndpointAddress, std::size_t> busyAt;
-    std::map<EndpointAddress, std::vector<ConnectionPointer>> idle;
-    /// Connections to be closed from a clean stack.
+    IncarnationId incarnation;
+    std::uint64_t nextExchangeId = 1;
+    std::unordered_map<std::uint64_t, ConnectionPointer> activeExchanges;
+    std::map<EndpointAddress, std::size_t> activeCountByEndpoint;
+    std::map<EndpointAddress, std::vector<ConnectionPointer>> idleConnections;
+    /// Connections to be closed from the event loop, because evhttp may still be using them further up the call stack.
     std::vector<ConnectionPointer> retired;
-    Timer cleanup;
-    Timer sweep;
+    Timer retireTimer;
+    Timer sweepTimer;
 };
 
 } // namespace Greengage
--- a/modules/gateway/endpoints/EndpointConnection.cpp
+++ b/modules/gateway/endpoints/EndpointConnection.cpp
@@ -18,8 +18,8 @@
 constexpr ev_ssize_t maxResponseHeaderBytes = 16 * 1024;
 constexpr ev_ssize_t maxResponseBodyBytes = 1024 * 1024;
 
-/// Whether the response says how long its body is, and the body is that long.
-bool isWhole(const evkeyvalq& headers, std::size_t bodyBytes)
+/// Whether the response has a Content-Length and its body has that length.
+bool isComplete(const evkeyvalq& headers, std::size_t bodyBytes)
 {
     std::string text = headerValue(headers, "Content-Length");
     std::size_t length = 0;
@@ -33,8 +33,8 @@
     : base(base)
     , endpoint(endpoint)
     , sourceAddress(std::move(sourceAddress))
-    , timeout(base, [this] { this->handleTimeout(); })
-    , completion(base, [this] {
+    , timeoutTimer(base, [this] { this->handleTimeout(); })
+    , completionTimer(base, [this] {
         Finished callback = std::move(this->finished);
         callback(std::move(this->result));
     })
@@ -48,7 +48,7 @@
     assertInvariant(!this->isExchanging && !this->isClosed, "one exchange at a time on an open connection");
     this->finished = std::move(finished);
     this->isExchanging = true;
-    this->bytesLeft = false;
+    this->hasSentBytes = false;
     this->notAfter = request.notAfter;
     this->answerBy = request.answerBy;
     Instant now = BootClock::now();
@@ -59,8 +59,8 @@
     if (!this->connection)
         this->connect();
     Deadline bound = this->isConnected ? this->answerBy : std::min(this->notAfter, this->answerBy);
-    this->timeout.schedule(bound.remaining(now));
-    if (!this->makeRequest(request))
+    this->timeoutTimer.schedule(bound.remaining(now));
+    if (!this->sendRequest(request))
         this->finish(ExchangeEnd::NotSent);
 }
 
@@ -69,28 +69,28 @@
 void EndpointConnection::connect()
 {
     bufferevent* transport = bufferevent_socket_new(&this->base, -1, BEV_OPT_CLOSE_ON_FREE);
-    assertInvariant(transport, "bufferevent_socket_new gives an object");
+    assertInvariant(transport, "bufferevent_socket_new returns an object");
     this->connection = evhttp_connection_base_bufferevent_new(
         &this->base, nullptr, transport, this->endpoint.address.c_str(), this->endpoint.port);
-    assertInvariant(this->connection, "evhttp_connection_base_bufferevent_new gives an object");
+    assertInvariant(this->connection, "evhttp_connection_base_bufferevent_new returns an object");
     evhttp_connection_set_local_address(this->connection, this->sourceAddress.c_str());
     evhttp_connection_set_max_headers_size(this->connection, maxResponseHeaderBytes);
     evhttp_connection_set_max_body_size(this->connection, maxResponseBodyBytes);
     evhttp_connection_set_closecb(
         this->connection,
         [](evhttp_connection*, void* self) { static_cast<EndpointConnection*>(self)->isClosed = true; }, this);
-    evbuffer_add_cb(bufferevent_get_output(transport), &EndpointConnection::countBytes, this);
+    evbuffer_add_cb(bufferevent_get_output(transport), &EndpointConnection::onOutputChanged, this);
 }
 
-void EndpointConnection::countBytes(evbuffer*, const evbuffer_cb_info* change, void* self)
+void EndpointConnection::onOutputChanged(evbuffer*, const evbuffer_cb_info* change, void* self)
 {
-    // The loop takes bytes out of the output buffer only by handing them to the kernel, or on the reset of a broken
-    // connection, which then counts as if they had left.
+    // libevent removes bytes from the output buffer only when it writes them to the socket or resets a broken
+    // connection. The latter counts as sent too.
     if (change->n_deleted > 0)
-        static_cast<EndpointConnection*>(self)->bytesLeft = true;
+        static_cast<EndpointConnection*>(self)->hasSentBytes = true;
 }
 
-bool EndpointConnection::makeRequest(const ExchangeRequest& exchange)
+bool EndpointConnection::sendRequest(const ExchangeRequest& exchange)
 {
     evhttp_request* request = evhttp_request_new(
         [](evhttp_request* answered, void* self) { static_cast<EndpointConnection*>(self)->handleResponse(answered); },
@@ -106,15 +106,16 @@
         return false;
     }
     if (!this->isConnected && this->isExchanging)
-        this->holdUntilConnected();
+        this->interceptConnectEvent();
     return true;
 }
 
-/// Puts itself between the socket and evhttp until the connection stands, because evhttp would write at once.
-void EndpointConnection::holdUntilConnected()
+/// Replaces evhttp's event callback until the connection is established, because evhttp would write the request at
+/// once, without checking `notAfter` again.
+void EndpointConnection::interceptConnectEvent()
 {
     bufferevent* transport = evhttp_connection_get_bufferevent(this->connection);
-    bufferevent_getcb(transport, nullptr, nullptr, &this->heldCallback, &this->heldArgument);
+    bufferevent_getcb(transport, nullptr, nullptr, &this->evhttpEventCallback, &this->evhttpCallbackArgument);
     auto intercept = [](bufferevent*, short events, void* self) {
         static_cast<EndpointConnection*>(self)->handleConnectEvent(events);
     };
@@ -131,12 +132,12 @@
         return;
     }
     bufferevent* transport = evhttp_connection_get_bufferevent(this->connection);
-    bufferevent_setcb(transport, nullptr, nullptr, this->heldCallback, this->heldArgument);
+    bufferevent_setcb(transport, nullptr, nullptr, this->evhttpEventCallback, this->evhttpCallbackArgument);
     if (events & BEV_EVENT_CONNECTED) {
         this->isConnected = true;
-        this->timeout.schedule(this->answerBy.remaining(now));
+        this->timeoutTimer.schedule(this->answerBy.remaining(now));
     }
-    this->heldCallback(transport, events, this->heldArgument);
+    this->evhttpEventCallback(transport, events, this->evhttpCallbackArgument);
 }
 
 void EndpointConnection::handleResponse(evhttp_request* request)
@@ -145,7 +146,7 @@
         return;
     if (!request || evhttp_request_get_response_code(request) == 0) {
         this->isClosed = true;
-        this->finish(this->bytesLeft ? ExchangeEnd::Broken : ExchangeEnd::NotSent);
+        this->finish(this->hasSentBytes ? ExchangeEnd::Broken : ExchangeEnd::NotSent);
         return;
     }
     const evkeyvalq& headers = *evhttp_request_get_input_headers(request);
@@ -155,7 +156,7 @@
     answer.contentType = headerValue(headers, "Content-Type");
     answer.echoedRequest = headerValue(headers, HeaderNames::request);
     answer.body = takeBytes(*evhttp_request_get_input_buffer(request));
-    if (!isWhole(headers, answer.body.size())) {
+    if (!isComplete(headers, answer.body.size())) {
         this->isClosed = true;
         this->finish(ExchangeEnd::Broken);
         return;
@@ -167,7 +168,7 @@
 {
     if (!this->isExchanging)
         return;
-    this->finish(this->bytesLeft ? ExchangeEnd::TimedOut : ExchangeEnd::NotSent);
+    this->finish(this->hasSentBytes ? ExchangeEnd::TimedOut : ExchangeEnd::NotSent);
 }
 
 void EndpointConnection::finish(ExchangeEnd end)
@@ -180,16 +181,16 @@
 void EndpointConnection::finish(ExchangeResult end)
 {
     this->isExchanging = false;
-    this->timeout.cancel();
-    // A connection whose exchange did not complete is never used again, and nothing more may leave on it. evhttp may be
-    // above us on the stack, so the connection is closed by whoever takes the result.
+    this->timeoutTimer.cancel();
+    // A connection whose exchange did not complete is never reused, and nothing more may be sent on it. evhttp may be
+    // further up the call stack, so the connection is closed later, by the receiver of the result.
     if (end.end != ExchangeEnd::Completed) {
         this->isClosed = true;
         if (this->connection)
             bufferevent_disable(evhttp_connection_get_bufferevent(this->connection), EV_READ | EV_WRITE);
     }
     this->result = std::move(end);
-    this->completion.schedule(Microseconds::zero());
+    this->completionTimer.schedule(Microseconds::zero());
 }
 
 void EndpointConnection::close()
@@ -198,7 +199,7 @@
         return;
     evhttp_connection_set_closecb(this->connection, nullptr, nullptr);
     evbuffer_remove_cb(bufferevent_get_output(evhttp_connection_get_bufferevent(this->connection)),
-        &EndpointConnection::countBytes, this);
+        &EndpointConnection::onOutputChanged, this);
     evhttp_connection_free(this->connection);
     this->connection = nullptr;
 }
--- a/modules/gateway/endpoints/EndpointConnection.h
+++ b/modules/gateway/endpoints/EndpointConnection.h
@@ -17,8 +17,8 @@
 
 namespace Greengage {
 
-/// One HTTP connection to an endpoint, carrying one exchange at a time. It connects first and writes after, and watches
-/// its output buffer, so that it knows whether any byte of a request has left.
+/// One HTTP connection to an endpoint, carrying one exchange at a time. It writes only once it is connected and
+/// observes its output buffer, so that it knows whether any byte of a request has been sent.
 class EndpointConnection {
 public:
     using Finished = std::function<void(ExchangeResult)>;
@@ -29,47 +29,47 @@
     EndpointConnection(const EndpointConnection&) = delete;
     EndpointConnection& operator=(const EndpointConnection&) = delete;
 
-    /// Begins an exchange; there must be none under way. `finished` is called exactly once, from the loop and never
+    /// Starts an exchange; none may be in progress. `finished` is called exactly once, from the event loop and never
     /// from within this call. It must not destroy the connection.
     void start(const ExchangeRequest&, Finished finished);
 
-    /// Whether the connection is open, at rest and has only ever carried whole exchanges.
+    /// Whether the connection is open and idle, and all its exchanges so far have completed.
     bool isReusable() const;
 
     const EndpointAddress& address() const { return this->endpoint; }
 
-    /// When an idle connection is to be closed.
+    /// When the connection is closed if it stays idle.
     Deadline idleUntil;
 
 private:
     void connect();
-    bool makeRequest(const ExchangeRequest&);
-    void holdUntilConnected();
+    bool sendRequest(const ExchangeRequest&);
+    void interceptConnectEvent();
     void handleConnectEvent(short events);
     void handleResponse(evhttp_request*);
     void handleTimeout();
     void finish(ExchangeEnd);
     void finish(ExchangeResult);
     void close();
-    static void countBytes(evbuffer*, const evbuffer_cb_info*, void* self);
+    static void onOutputChanged(evbuffer*, const evbuffer_cb_info*, void* self);
 
     event_base& base;
     EndpointAddress endpoint;
     std::string sourceAddress;
     evhttp_connection* connection = nullptr;
-    /// What evhttp had set as the event callback while the connection is being made.
-    void (*heldCallback)(bufferevent*, short, void*) = nullptr;
-    void* heldArgument = nullptr;
+    /// evhttp's own event callback and its argument, saved while interceptConnectEvent has replaced them.
+    void (*evhttpEventCallback)(bufferevent*, short, void*) = nullptr;
+    void* evhttpCallbackArgument = nullptr;
     Deadline notAfter;
     Deadline answerBy;
     bool isConnected = false;
     bool isExchanging = false;
-    bool bytesLeft = false;
+    bool hasSentBytes = false;
     bool isClosed = false;
     Finished finished;
     ExchangeResult result;
-    Timer timeout;
-    Timer completion;
+    Timer timeoutTimer;
+    Timer completionTimer;
 };
 
 } // namespace Greengage
--- a/modules/gateway/endpoints/ExchangeRequest.h
+++ b/modules/gateway/endpoints/ExchangeRequest.h
@@ -14,9 +14,9 @@
     std::string path;
     std::vector<HttpHeader> headers;
     std::string body;
-    /// Last instant at which the first byte may leave.
+    /// Last instant at which the first byte may be sent.
     Deadline notAfter;
-    /// Last instant at which the answer may come.
+    /// Last instant at which the complete answer may arrive.
     Deadline answerBy;
 };
 
--- a/modules/gateway/endpoints/ExchangeResult.h
+++ b/modules/gateway/endpoints/ExchangeResult.h
@@ -8,13 +8,13 @@
 
 /// How one HTTP exchange with an endpoint ended.
 enum class ExchangeEnd {
-    /// A response came, whole by its Content-Length.
+    /// A response arrived, complete by its Content-Length.
     Completed,
-    /// No byte of the request left this process.
+    /// No byte of the request was sent.
     NotSent,
-    /// Bytes left, and the connection broke or the response was cut short or malformed.
+    /// Bytes were sent, and the connection broke or the response was truncated or malformed.
     Broken,
-    /// Bytes left, and no whole response came in time.
+    /// Bytes were sent, and no complete response arrived in time.
     TimedOut,
 };
 
@@ -27,12 +27,12 @@
     } };
 };
 
-/// The end of one HTTP exchange with an endpoint. The fields after `end` are set for Completed only.
+/// The result of one HTTP exchange with an endpoint. The fields after `end` are set for Completed only.
 struct ExchangeResult {
     ExchangeEnd end = ExchangeEnd::NotSent;
     int status = 0;
     std::string contentType;
-    /// The request id that the endpoint echoed; empty if none.
+    /// The request id that the endpoint echoed; empty if it echoed none.
     std::string echoedRequest;
     std::string body;
 };
--- a/modules/gateway/endpoints/RunningParser.cpp
+++ b/modules/gateway/endpoints/RunningParser.cpp
@@ -10,7 +10,7 @@
 
 constexpr Json::ArrayIndex maxRunning = 1024;
 
-bool hasText(const Json::Value& object, const char* name) { return object[name].isString(); }
+bool hasString(const Json::Value& object, const char* name) { return object[name].isString(); }
 
 } // namespace
 
@@ -21,11 +21,12 @@
         return failure(GatewayError { parsed.error().message });
     const Json::Value& root = parsed.value();
     if (!root.isObject() || !root["running"].isArray() || root["running"].size() > maxRunning)
-        return failure(GatewayError { "\"running\" is not a list of at most 1024 entries" });
+        return failure(GatewayError { "\"running\" must be an array of at most 1024 entries" });
     std::vector<RunningWork> running;
     for (const Json::Value& item : root["running"]) {
-        if (!item.isObject() || !hasText(item, "request") || !hasText(item, "team") || !hasText(item, "incarnation"))
-            return failure(GatewayError { "an entry lacks request, team or incarnation" });
+        if (!item.isObject() || !hasString(item, "request") || !hasString(item, "team")
+            || !hasString(item, "incarnation"))
+            return failure(GatewayError { "an entry of \"running\" lacks \"request\", \"team\" or \"incarnation\"" });
         running.push_back({ RequestId(item["request"].asString()), TeamId(item["team"].asString()),
             IncarnationId(item["incarnation"].asString()) });
     }
--- a/modules/gateway/endpoints/RunningParser.h
+++ b/modules/gateway/endpoints/RunningParser.h
@@ -9,7 +9,7 @@
 
 namespace Greengage {
 
-/// Parses an endpoint's list of running work. The error says what was wrong.
+/// Parses the body of an endpoint's response to GET /running. The error states what was wrong.
 Result<std::vector<RunningWork>, GatewayError> parseRunning(const std::string& body);
 
 } // namespace Greengage
--- a/modules/gateway/gateway.h
+++ b/modules/gateway/gateway.h
@@ -1,5 +1,5 @@
-// Purpose: the HTTP edges of the daemon: callers' requests come in, attempts go out to endpoints, operators' requests
-// come in on the admin port.
+// Purpose: the daemon's HTTP interfaces: a server for callers' requests, a client that sends attempts to endpoints, and
+// a server for operators' requests on the admin port.
 // Dependencies: core, loop, config, the request messages of fleet, libevent (evhttp), jsoncpp.
 #pragma once
 
--- a/modules/gateway/http/GatewayError.h
+++ b/modules/gateway/http/GatewayError.h
@@ -4,7 +4,7 @@
 
 namespace Greengage {
 
-/// What the gateway could not do or did not understand.
+/// A failed operation of the gateway, or input that it could not parse.
 struct GatewayError {
     std::string detail;
 };
--- a/modules/gateway/http/HeaderNames.h
+++ b/modules/gateway/http/HeaderNames.h
@@ -2,7 +2,7 @@
 
 namespace Greengage {
 
-/// Names of the headers that the protocols towards callers and endpoints define.
+/// Names of the HTTP headers that the protocols with callers and endpoints define.
 struct HeaderNames {
     static constexpr const char* request = "Greengage-Request";
     static constexpr const char* attempt = "Greengage-Attempt";
--- a/modules/gateway/tests/CallerServerTests.cpp
+++ b/modules/gateway/tests/CallerServerTests.cpp
@@ -20,7 +20,7 @@
 constexpr int basePort = 24000;
 constexpr int portRange = 900;
 
-/// A caller's raw connection.
+/// A caller's TCP connection that sends and receives unparsed bytes.
 class RawCaller {
 public:
     explicit RawCaller(std::uint16_t port)
@@ -32,18 +32,18 @@
         BOOST_REQUIRE(connect(this->socket, reinterpret_cast<sockaddr*>(&address), sizeof(address)) == 0);
     }
 
-    ~RawCaller() { this->leave(); }
+    ~RawCaller() { this->disconnect(); }
 
     void send(const std::string& bytes) const { ::send(this->socket, bytes.data(), bytes.size(), MSG_NOSIGNAL); }
 
-    void leave()
+    void disconnect()
     {
         if (this->socket != -1)
             close(this->socket);
         this->socket = -1;
     }
 
-    /// Takes what has come; returns whether the other side has closed the connection.
+    /// Reads the bytes that have arrived; returns whether the server has closed the connection.
     bool receive()
     {
         char bytes[4096];
@@ -62,14 +62,14 @@
 struct ServerFixture {
     LoopRunner loop;
     std::vector<RequestArrived> arrived;
-    std::vector<CallerLeft> left;
+    std::vector<CallerLeft> disconnects;
     std::vector<CallerRefusal> refused;
     int answered = 0;
     CallerLimits limits { 2, 2048, 1000, 1500, Milliseconds(300) };
     std::uint16_t port = static_cast<std::uint16_t>(basePort + getpid() % portRange);
     CallerServer server { loop.base(), limits, IncarnationId("i1"),
         { [this](RequestArrived request) { this->arrived.push_back(std::move(request)); },
-            [this](CallerLeft gone) { this->left.push_back(std::move(gone)); },
+            [this](CallerLeft message) { this->disconnects.push_back(std::move(message)); },
             [this](const AnswerCaller&, const QueueId&, Microseconds) { this->answered += 1; },
             [this](CallerRefusal refusal) { this->refused.push_back(refusal); }, [] { return true; },
             [] { return std::string("metrics page"); } } };
@@ -83,12 +83,12 @@
 
     void awaitResponse(RawCaller& caller, const std::string& text)
     {
-        bool came = this->loop.runUntil([&caller, &text] {
+        bool arrivedInTime = this->loop.runUntil([&caller, &text] {
             caller.receive();
             return caller.received.find(text) != std::string::npos;
         });
         BOOST_TEST_INFO(caller.received);
-        BOOST_REQUIRE(came);
+        BOOST_REQUIRE(arrivedInTime);
     }
 
     void awaitClose(RawCaller& caller)
@@ -107,7 +107,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(CallerServerTests, ServerFixture)
 
-BOOST_AUTO_TEST_CASE(requestIsParsedAndAnsweredAsTheEndpointAnswered)
+BOOST_AUTO_TEST_CASE(requestIsParsedAndEndpointAnswerIsPassedOn)
 {
     RawCaller caller(this->port);
     caller.send(
@@ -118,19 +118,19 @@
     BOOST_TEST(request.bearer == "k.s");
     BOOST_TEST(request.idempotencyKey == "once");
     BOOST_TEST(request.bodyBytes == 11U);
-    PendingCall* call = this->server.find(request.request);
-    BOOST_REQUIRE(call);
-    BOOST_TEST(call->body == "two pallets");
-    call->answers[2] = { 201, "text/plain", "certificate 7" };
+    PendingRequest* pending = this->server.findPending(request.request);
+    BOOST_REQUIRE(pending);
+    BOOST_TEST(pending->body == "two pallets");
+    pending->answers[2] = { 201, "text/plain", "certificate 7" };
     this->server.answer({ request.request, Outcome::Answered, OutcomeReason::None, 2, {}, {} });
     this->awaitResponse(caller, "certificate 7");
     BOOST_TEST(caller.received.find("HTTP/1.1 201") == 0U);
     BOOST_TEST(caller.received.find("Greengage-Outcome: answered") != std::string::npos);
-    BOOST_TEST(this->server.pendingCalls() == 0U);
+    BOOST_TEST(this->server.pendingRequestCount() == 0U);
     BOOST_TEST(this->answered == 1);
 }
 
-BOOST_AUTO_TEST_CASE(outcomesAreToldApartByStatusAndHeader)
+BOOST_AUTO_TEST_CASE(outcomesAreDistinguishedByStatusAndHeader)
 {
     RawCaller caller(this->port);
     caller.send(toPost("", "x"));
@@ -149,7 +149,7 @@
     BOOST_TEST(caller.received.find("HTTP/1.1 504") == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(malformedHeadersAreRefusedByName)
+BOOST_AUTO_TEST_CASE(malformedHeaderIsNamedInTheRefusal)
 {
     RawCaller caller(this->port);
     caller.send(toPost("Greengage-Timeout-Ms: soon\r\n", "x"));
@@ -168,25 +168,25 @@
     RawCaller first(this->port);
     first.send(toPost("", std::string(1000, 'x')));
     this->awaitArrival(1);
-    caller.leave();
+    caller.disconnect();
     RawCaller second(this->port);
     second.send(toPost("", std::string(1000, 'x')));
     this->awaitResponse(second, "bodies_full");
 }
 
-BOOST_AUTO_TEST_CASE(callerThatLeavesIsReported)
+BOOST_AUTO_TEST_CASE(callerDisconnectIsReported)
 {
     RawCaller caller(this->port);
     caller.send(toPost("", "x"));
     this->awaitArrival(1);
-    caller.leave();
-    BOOST_REQUIRE(this->loop.runUntil([this] { return this->left.size() == 1; }));
-    BOOST_TEST((this->left[0].request == this->arrived[0].request));
-    BOOST_TEST(this->server.pendingCalls() == 0U);
+    caller.disconnect();
+    BOOST_REQUIRE(this->loop.runUntil([this] { return this->disconnects.size() == 1; }));
+    BOOST_TEST((this->disconnects[0].request == this->arrived[0].request));
+    BOOST_TEST(this->server.pendingRequestCount() == 0U);
     this->server.answer({ this->arrived[0].request, Outcome::NotRun, OutcomeReason::None, 0, {}, {} });
 }
 
-BOOST_AUTO_TEST_CASE(slowRequestIsCutAndAWaitingOneIsNot)
+BOOST_AUTO_TEST_CASE(slowRequestIsClosedWhileAWaitingOneStaysOpen)
 {
     RawCaller waiting(this->port);
     waiting.send(toPost("", "x"));
@@ -194,7 +194,7 @@
     RawCaller slow(this->port);
     slow.send("POST /v1/queues/orders HTTP/1.1\r\nContent-Length: 10\r\n\r\nabc");
     this->awaitClose(slow);
-    BOOST_TEST(this->left.empty());
+    BOOST_TEST(this->disconnects.empty());
     this->server.answer({ this->arrived[0].request, Outcome::NotRun, OutcomeReason::QueueFull, 0, {}, {} });
     this->awaitResponse(waiting, "queue_full");
     this->awaitClose(waiting);
@@ -208,10 +208,10 @@
     for (RawCaller* caller : { &first, &second, &third })
         caller->send(toPost("", "x"));
     this->awaitArrival(2);
-    BOOST_TEST(this->server.connections() == 2);
-    first.leave();
+    BOOST_TEST(this->server.connectionCount() == 2);
+    first.disconnect();
     this->awaitArrival(3);
-    BOOST_TEST(this->server.connections() == 2);
+    BOOST_TEST(this->server.connectionCount() == 2);
 }
 
 BOOST_AUTO_TEST_CASE(metricsPageIsServed)
--- a/modules/gateway/tests/EndpointClientTests.cpp
+++ b/modules/gateway/tests/EndpointClientTests.cpp
@@ -22,18 +22,21 @@
 }
 
 /// The id of the request in the bytes that the client sent.
-std::string echoOf(const std::string& request)
+std::string requestIdOf(const std::string& request)
 {
     const std::string name = "Greengage-Request: ";
     std::size_t begin = request.find(name) + name.size();
     return request.substr(begin, request.find('\r', begin) - begin);
 }
 
-ScriptedServer::Reply answerWell(const std::string& request) { return { toResponse(200, echoOf(request), "done", 4) }; }
+ScriptedServer::Reply answerCorrectly(const std::string& request)
+{
+    return { toResponse(200, requestIdOf(request), "done", 4) };
+}
 
 struct ClientFixture {
     LoopRunner loop;
-    ScriptedServer server { loop.base(), answerWell };
+    ScriptedServer server { loop.base(), answerCorrectly };
     EndpointClient client { loop.base(), "127.0.0.1", IncarnationId("i1") };
     int sent = 0;
     std::optional<AttemptEnded> ended;
@@ -55,14 +58,14 @@
     AttemptResult run(const SendAttempt& attempt)
     {
         this->ended.reset();
-        this->client.send(attempt, QueueId("q"), "body", [this](const AttemptEnded& end, EndpointAnswer whole) {
+        this->client.send(attempt, QueueId("q"), "body", [this](const AttemptEnded& end, EndpointAnswer received) {
             BOOST_TEST(!this->ended.has_value());
             this->ended = end;
-            this->answer = std::move(whole);
+            this->answer = std::move(received);
         });
         BOOST_TEST(!this->ended.has_value());
         BOOST_REQUIRE(this->loop.runUntil([this] { return this->ended.has_value(); }));
-        BOOST_TEST(this->client.active() == 0U);
+        BOOST_TEST(this->client.activeExchangeCount() == 0U);
         return this->ended->result;
     }
 };
@@ -71,16 +74,16 @@
 
 BOOST_FIXTURE_TEST_SUITE(EndpointClientTests, ClientFixture)
 
-BOOST_AUTO_TEST_CASE(wholeAnswersComeOverOneReusedConnection)
+BOOST_AUTO_TEST_CASE(completeAnswersReuseOneConnection)
 {
-    for (int turn = 0; turn < 3; ++turn) {
+    for (int round = 0; round < 3; ++round) {
         BOOST_TEST((this->run(this->makeAttempt()) == AttemptResult::Answered));
         BOOST_TEST(this->answer.body == "done");
     }
     BOOST_TEST(this->server.connections == 1);
 }
 
-BOOST_AUTO_TEST_CASE(freshConnectionIsOpenedWhenAskedFor)
+BOOST_AUTO_TEST_CASE(freshConnectionIsOpenedOnRequest)
 {
     this->run(this->makeAttempt());
     SendAttempt attempt = this->makeAttempt();
@@ -89,22 +92,22 @@
     BOOST_TEST(this->server.connections == 2);
 }
 
-BOOST_AUTO_TEST_CASE(restingConnectionsGiveWayToFreshOnes)
+BOOST_AUTO_TEST_CASE(idleConnectionsAreClosedToAdmitFreshOnes)
 {
-    constexpr int turns = 20;
-    constexpr std::size_t atOnce = 8;
+    constexpr int rounds = 20;
+    constexpr std::size_t concurrentAttempts = 8;
     EndpointAddress address { VmId("vm1"), "127.0.0.1", this->server.port() };
-    for (int turn = 0; turn < turns; ++turn) {
+    for (int round = 0; round < rounds; ++round) {
         std::size_t ended = 0;
-        for (std::size_t index = 0; index < atOnce; ++index) {
+        for (std::size_t index = 0; index < concurrentAttempts; ++index) {
             SendAttempt attempt = this->makeAttempt();
             attempt.freshConnection = true;
             this->client.send(
                 attempt, QueueId("q"), "body", [&ended](const AttemptEnded&, EndpointAnswer) { ++ended; });
-            BOOST_TEST(this->client.connectionsTo(address) <= atOnce);
+            BOOST_TEST(this->client.connectionCountTo(address) <= concurrentAttempts);
         }
-        BOOST_REQUIRE(this->loop.runUntil([&ended] { return ended == atOnce; }));
-        BOOST_TEST(this->client.connectionsTo(address) <= atOnce);
+        BOOST_REQUIRE(this->loop.runUntil([&ended] { return ended == concurrentAttempts; }));
+        BOOST_TEST(this->client.connectionCountTo(address) <= concurrentAttempts);
     }
 }
 
@@ -124,7 +127,7 @@
     BOOST_TEST((this->run(attempt) == AttemptResult::NotSent));
 }
 
-BOOST_AUTO_TEST_CASE(passedPermissionSendsNoByte)
+BOOST_AUTO_TEST_CASE(expiredSendDeadlineSendsNoByte)
 {
     SendAttempt attempt = this->makeAttempt();
     attempt.notAfter = Deadline::after(BootClock::now(), Milliseconds(-1));
@@ -132,7 +135,7 @@
     BOOST_TEST(this->server.bytesReceived == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(permissionIsCheckedAfterTheConnectionStands)
+BOOST_AUTO_TEST_CASE(sendDeadlineIsCheckedAfterConnecting)
 {
     SendAttempt attempt = this->makeAttempt();
     attempt.notAfter = Deadline::after(BootClock::now(), Milliseconds(20));
@@ -147,7 +150,7 @@
 BOOST_AUTO_TEST_CASE(truncatedAnswerIsBrokenAndItsConnectionClosed)
 {
     this->server.script = [](const std::string& request) {
-        return ScriptedServer::Reply { toResponse(200, echoOf(request), "do", 4), true };
+        return ScriptedServer::Reply { toResponse(200, requestIdOf(request), "do", 4), true };
     };
     BOOST_TEST((this->run(this->makeAttempt()) == AttemptResult::Broken));
 }
@@ -155,7 +158,7 @@
 BOOST_AUTO_TEST_CASE(answerWithoutLengthIsBroken)
 {
     this->server.script = [](const std::string& request) {
-        return ScriptedServer::Reply { "HTTP/1.1 200 x\r\nGreengage-Request: " + echoOf(request) + "\r\n\r\ndone",
+        return ScriptedServer::Reply { "HTTP/1.1 200 x\r\nGreengage-Request: " + requestIdOf(request) + "\r\n\r\ndone",
             true };
     };
     BOOST_TEST((this->run(this->makeAttempt()) == AttemptResult::Broken));
@@ -166,18 +169,18 @@
     this->server.script
         = [](const std::string&) { return ScriptedServer::Reply { toResponse(200, "r99", "done", 4) }; };
     BOOST_TEST((this->run(this->makeAttempt()) == AttemptResult::Broken));
-    this->server.script = answerWell;
+    this->server.script = answerCorrectly;
     BOOST_TEST((this->run(this->makeAttempt()) == AttemptResult::Answered));
     BOOST_TEST(this->server.connections == 2);
 }
 
-BOOST_AUTO_TEST_CASE(silentConnectionIsClosedAndNotReused)
+BOOST_AUTO_TEST_CASE(unresponsiveConnectionIsClosedAndNotReused)
 {
     this->server.script = [](const std::string&) { return ScriptedServer::Reply {}; };
     SendAttempt attempt = this->makeAttempt();
     attempt.answerBy = Deadline::after(BootClock::now(), Milliseconds(100));
     BOOST_TEST((this->run(attempt) == AttemptResult::Silent));
-    this->server.script = answerWell;
+    this->server.script = answerCorrectly;
     BOOST_TEST((this->run(this->makeAttempt()) == AttemptResult::Answered));
     BOOST_TEST(this->server.connections == 2);
 }
@@ -188,11 +191,11 @@
     BOOST_TEST((this->run(this->makeAttempt()) == AttemptResult::Broken));
 }
 
-BOOST_AUTO_TEST_CASE(refusalsOfTheEndpointMeanNotRun)
+BOOST_AUTO_TEST_CASE(endpointRefusalsAreReportedAsRefused)
 {
     for (int status : { 503, 421 }) {
         this->server.script = [status](const std::string& request) {
-            return ScriptedServer::Reply { toResponse(status, echoOf(request), "", 0) };
+            return ScriptedServer::Reply { toResponse(status, requestIdOf(request), "", 0) };
         };
         BOOST_TEST((this->run(this->makeAttempt()) == AttemptResult::Refused));
     }
--- a/modules/gateway/traffic/Gateway.cpp
+++ b/modules/gateway/traffic/Gateway.cpp
@@ -1,16 +1,16 @@
 #include <gateway/traffic/Gateway.h>
 
-#include <gateway/callers/PendingCall.h>
+#include <gateway/callers/PendingRequest.h>
 
 #include <fleet/requests/RequestOutput.h>
 
 namespace Greengage {
 
 Gateway::Gateway(
-    event_base& base, std::string address, const CallerLimits& limits, IncarnationId self, Handlers handlers)
+    event_base& base, std::string address, const CallerLimits& limits, IncarnationId incarnation, Handlers handlers)
     : address(std::move(address))
     , handlers(std::move(handlers))
-    , callers(base, limits, self,
+    , callers(base, limits, incarnation,
           { [this](RequestArrived arrived) { this->handlers.input(std::move(arrived)); },
               [this](CallerLeft left) { this->handlers.input(std::move(left)); },
               [this](const AnswerCaller& answer, const QueueId& queue, Microseconds latency) {
@@ -18,7 +18,7 @@
               },
               [this](CallerRefusal refusal) { this->handlers.refused(refusal); },
               [this] { return this->handlers.isHealthy(); }, [this] { return this->handlers.metricsPage(); } })
-    , endpoints(base, this->address, self)
+    , endpoints(base, this->address, incarnation)
 {
 }
 
@@ -29,18 +29,19 @@
 
 void Gateway::send(const SendAttempt& attempt)
 {
-    const PendingCall* call = this->callers.find(attempt.request);
-    if (!call) {
+    const PendingRequest* pending = this->callers.findPending(attempt.request);
+    if (!pending) {
         this->handlers.input(
             AttemptEnded { attempt.request, attempt.attempt, attempt.endpoint, AttemptResult::NotSent });
         return;
     }
-    this->endpoints.send(attempt, call->queue, call->body, [this](const AttemptEnded& ended, EndpointAnswer answer) {
-        PendingCall* waiting = this->callers.find(ended.request);
-        if (waiting && ended.result == AttemptResult::Answered)
-            waiting->answers[ended.attempt] = std::move(answer);
-        this->handlers.input(ended);
-    });
+    this->endpoints.send(
+        attempt, pending->queue, pending->body, [this](const AttemptEnded& ended, EndpointAnswer answer) {
+            PendingRequest* waiting = this->callers.findPending(ended.request);
+            if (waiting && ended.result == AttemptResult::Answered)
+                waiting->answers[ended.attempt] = std::move(answer);
+            this->handlers.input(ended);
+        });
 }
 
 void Gateway::answer(const AnswerCaller& answer) { this->callers.answer(answer); }
--- a/modules/gateway/traffic/Gateway.h
+++ b/modules/gateway/traffic/Gateway.h
@@ -19,8 +19,8 @@
 struct AskRunning;
 struct SendAttempt;
 
-/// Joins callers and endpoints: turns what comes from either side into inputs of the request plane, and carries the
-/// plane's outputs out.
+/// Connects the request plane to callers and endpoints: converts their messages to inputs of the request plane, and
+/// carries out its outputs.
 class Gateway {
 public:
     struct Handlers {
@@ -31,8 +31,8 @@
         std::function<std::string()> metricsPage;
     };
 
-    /// `address` is the daemon's own: callers' connections come to it, and those to endpoints are bound to it.
-    Gateway(event_base&, std::string address, const CallerLimits&, IncarnationId self, Handlers);
+    /// `address` is the daemon's own. The caller server listens on it, and connections to endpoints are bound to it.
+    Gateway(event_base&, std::string address, const CallerLimits&, IncarnationId incarnation, Handlers);
 
     Result<void, GatewayError> listen(std::uint16_t callersPort);
     void beginClosing() { this->callers.beginClosing(); }
@@ -42,10 +42,13 @@
     void answer(const AnswerCaller&);
     void askRunning(const AskRunning&);
 
-    /// Whether no caller waits for an answer and no exchange with an endpoint is under way.
-    bool isIdle() const { return this->callers.pendingCalls() == 0 && this->endpoints.active() == 0; }
+    /// Whether no caller is waiting for an answer and no exchange with an endpoint is in progress.
+    bool isIdle() const
+    {
+        return this->callers.pendingRequestCount() == 0 && this->endpoints.activeExchangeCount() == 0;
+    }
 
-    int callerConnections() const { return this->callers.connections(); }
+    int callerConnections() const { return this->callers.connectionCount(); }
 
 private:
     std::string address;
