--- a/modules/metrics/burn/BurnCodec.cpp
+++ b/modules/metrics/burn/BurnCodec.cpp
@@ -30,10 +30,10 @@
 {
     bool wellFormed = value.isObject() && value["total"].isUInt64() && value["good"].isUInt64();
     if (!wellFormed)
-        return failure(BurnCodecError { "a window lacks total or good" });
+        return failure(BurnCodecError { "a window needs the unsigned integers total and good" });
     RequestCounts counts { value["total"].asUInt64(), value["good"].asUInt64() };
     if (counts.good > counts.total)
-        return failure(BurnCodecError { "a window has more good requests than requests" });
+        return failure(BurnCodecError { "a window has more good requests than requests in total" });
     return counts;
 }
 
@@ -42,11 +42,13 @@
     bool wellFormed = value.isObject() && value["service"].isString() && value["team"].isString()
         && value["objectivePercent"].isDouble() && value["windows"].isObject();
     if (!wellFormed)
-        return failure(BurnCodecError { "a row lacks service, team, objectivePercent or windows" });
+        return failure(BurnCodecError {
+            "a row needs the strings service and team, the number objectivePercent and the object windows" });
     BurnRow row { ServiceId(value["service"].asString()), TeamId(value["team"].asString()),
         value["objectivePercent"].asDouble(), {} };
     if (row.objectivePercent <= 0 || row.objectivePercent >= 100)
-        return failure(BurnCodecError { "an objective lies outside 0 to 100 percent" });
+        return failure(
+            BurnCodecError { "objectivePercent: an objective must be more than 0 and less than 100 percent" });
     for (const auto& [window, name] : EnumNames<BurnWindow>::table) {
         BOOST_OUTCOME_TRY(counts, decodeCounts(value["windows"][std::string(name)]));
         row.windows[static_cast<std::size_t>(window)] = counts;
@@ -75,7 +77,7 @@
     if (!reader->parse(json.data(), json.data() + json.size(), &root, &errors))
         return failure(BurnCodecError { errors });
     if (!root.isObject() || !root["rows"].isArray())
-        return failure(BurnCodecError { "the field rows is missing" });
+        return failure(BurnCodecError { "the array rows is missing" });
     std::vector<BurnRow> rows;
     for (const auto& value : root["rows"]) {
         BOOST_OUTCOME_TRY(row, decodeRow(value));
--- a/modules/metrics/burn/BurnCodec.h
+++ b/modules/metrics/burn/BurnCodec.h
@@ -10,12 +10,12 @@
 
 namespace Greengage {
 
-/// Rows as the JSON that daemons serve under /v1/burn:
+/// Encodes rows as the JSON that daemons serve under /v1/burn:
 /// {"rows":[{"service","team","objectivePercent","windows":{"5m":{"total","good"},..}}]}.
 std::string encodeBurnRows(const std::vector<BurnRow>&);
 
-/// Reads what encodeBurnRows wrote. Refuses missing fields, an objective outside (0, 100) and more good requests than
-/// requests.
+/// Decodes the output of encodeBurnRows. Fails on missing fields, an objective outside the open interval (0, 100) and
+/// windows with more good requests than requests in total.
 Result<std::vector<BurnRow>, BurnCodecError> decodeBurnRows(std::string_view json);
 
 } // namespace Greengage
--- a/modules/metrics/burn/BurnCodecError.h
+++ b/modules/metrics/burn/BurnCodecError.h
@@ -4,7 +4,7 @@
 
 namespace Greengage {
 
-/// Why rows of burn could not be read from JSON.
+/// Describes why burn rows could not be decoded from JSON.
 struct BurnCodecError {
     std::string detail;
 };
--- a/modules/metrics/burn/BurnReport.h
+++ b/modules/metrics/burn/BurnReport.h
@@ -7,24 +7,25 @@
 
 namespace Greengage {
 
-/// The report on service-level burn for operators: one line for each service and team, the fastest burning first.
+/// Reports error budget burn rates to operators: one row for each service and team, ordered by descending 1-hour burn
+/// rate.
 class BurnReport {
 public:
-    /// Adds the rows of one daemon. Rows of the same service and team are summed.
+    /// Adds the rows of one daemon. The counts of rows with the same service and team are summed.
     void add(const std::vector<BurnRow>&);
 
-    const std::vector<BurnRow>& rows() const { return this->sorted; }
+    const std::vector<BurnRow>& rows() const { return this->sortedRows; }
 
-    /// A table in plain text.
+    /// Formats the report as a plain-text table.
     std::string text() const;
 
-    /// A page that stands alone, with a bar chart in SVG.
+    /// Formats the report as a self-contained HTML page with an SVG bar chart.
     std::string html() const;
 
 private:
-    void sortByBurn();
+    void sortByBurnRate();
 
-    std::vector<BurnRow> sorted;
+    std::vector<BurnRow> sortedRows;
 };
 
 } // namespace Greengage
--- a/modules/metrics/burn/BurnTable.h
+++ b/modules/metrics/burn/BurnTable.h
@@ -12,14 +12,14 @@
 
 namespace Greengage {
 
-/// Counts good and bad requests by service and team over all windows. One daemon counts what it answered itself; the
-/// report sums the rows of all daemons. Nothing is kept across a restart.
+/// Counts good and bad requests by service and team for every window. A daemon counts only the requests that it
+/// answered itself; BurnReport sums the rows of all daemons. The counts are lost on restart.
 class BurnTable {
 public:
-    /// Counts one ended request. `objectivePercent` is the service's objective now in force.
+    /// Counts one completed request. `objectivePercent` is the service's current objective.
     void record(Instant now, const ServiceId&, const TeamId&, double objectivePercent, bool good);
 
-    /// All rows by service and team; rows without a request in the longest window are left out.
+    /// Returns the rows ordered by service and team, without those that have no request in the longest window.
     std::vector<BurnRow> rows(Instant now) const;
 
 private:
--- a/modules/metrics/burn/BurnWindow.h
+++ b/modules/metrics/burn/BurnWindow.h
@@ -5,7 +5,8 @@
 
 namespace Greengage {
 
-/// The spans over which burn is told. A short and a long window together tell a spike from a lasting fault.
+/// The sliding windows over which burn rates are reported. Comparing a short window with a long one distinguishes a
+/// brief spike from a persistent fault.
 enum class BurnWindow {
     FiveMinutes,
     OneHour,
@@ -22,7 +23,6 @@
 
 constexpr std::size_t burnWindowCount = EnumNames<BurnWindow>::table.size();
 
-/// Length of a window.
 constexpr Microseconds lengthOf(BurnWindow window)
 {
     switch (window) {
--- a/modules/metrics/burn/RequestCounts.h
+++ b/modules/metrics/burn/RequestCounts.h
@@ -4,10 +4,10 @@
 
 namespace Greengage {
 
-/// Requests of one span of time.
+/// Numbers of requests completed within a period.
 struct RequestCounts {
     std::uint64_t total = 0;
-    /// Those that kept the service's objective: answered within its latency.
+    /// Requests that met the service's objective: answered within its latency limit.
     std::uint64_t good = 0;
 
     RequestCounts& operator+=(const RequestCounts& other)
--- a/modules/metrics/burn/SlidingCounts.cpp
+++ b/modules/metrics/burn/SlidingCounts.cpp
@@ -9,9 +9,9 @@
 
 void SlidingCounts::record(Instant now, bool good)
 {
-    auto number = now.time_since_epoch() / this->slotLength;
-    auto& slot = this->slots[static_cast<std::size_t>(number) % slotCount];
-    Deadline expiry(Instant(this->slotLength * (number + static_cast<long>(slotCount))));
+    auto slotNumber = now.time_since_epoch() / this->slotLength;
+    auto& slot = this->slots[static_cast<std::size_t>(slotNumber) % slotCount];
+    Deadline expiry(Instant(this->slotLength * (slotNumber + static_cast<long>(slotCount))));
     if (slot.expiry != expiry)
         slot = Slot { expiry, {} };
     slot.counts.total += 1;
--- a/modules/metrics/burn/SlidingCounts.h
+++ b/modules/metrics/burn/SlidingCounts.h
@@ -7,8 +7,8 @@
 
 namespace Greengage {
 
-/// Counts over a sliding window, in slots of a thirtieth of its length. A slot is dropped once it lies wholly outside
-/// the window, so the counts span between one window and one window and a thirtieth.
+/// Counts requests over a sliding window, which is divided into slots of a thirtieth of its length. A slot expires once
+/// all of it lies outside the window, so the counts cover between 1 and 1 + 1/30 window lengths.
 class SlidingCounts {
 public:
     explicit SlidingCounts(Microseconds windowLength);
--- a/modules/metrics/metrics.h
+++ b/modules/metrics/metrics.h
@@ -1,4 +1,5 @@
-// Purpose: counters, gauges and latency histograms with their text exposition, and the report on service-level burn.
+// Purpose: counters, gauges and latency histograms with their text exposition, and the report of error budget burn
+// rates.
 // Dependencies: core, Boost.Histogram, jsoncpp.
 #pragma once
 
--- a/modules/metrics/registry/Counter.h
+++ b/modules/metrics/registry/Counter.h
@@ -4,7 +4,7 @@
 
 namespace Greengage {
 
-/// A count that only grows.
+/// A monotonically increasing count.
 class Counter {
 public:
     void add(std::uint64_t amount = 1) { this->total += amount; }
--- a/modules/metrics/registry/Gauge.h
+++ b/modules/metrics/registry/Gauge.h
@@ -2,10 +2,10 @@
 
 namespace Greengage {
 
-/// A quantity that goes up and down.
+/// A value that can go up and down.
 class Gauge {
 public:
-    void set(double amount) { this->current = amount; }
+    void set(double newValue) { this->current = newValue; }
     double value() const { return this->current; }
 
 private:
--- a/modules/metrics/registry/Label.h
+++ b/modules/metrics/registry/Label.h
@@ -4,7 +4,7 @@
 
 namespace Greengage {
 
-/// One label of a metric's series, such as queue="quotes".
+/// A label of a time series, such as queue="quotes".
 struct Label {
     std::string name;
     std::string value;
--- a/modules/metrics/registry/LatencyHistogram.cpp
+++ b/modules/metrics/registry/LatencyHistogram.cpp
@@ -7,14 +7,14 @@
 namespace {
 
 constexpr int axisBucketCount = 16;
-constexpr double lowerBoundSeconds = 0.001;
-constexpr double upperBoundOfAllSeconds = 65.536;
+constexpr double smallestBoundSeconds = 0.001;
+constexpr double largestBoundSeconds = 65.536;
 constexpr int underflowIndex = -1;
 
 } // namespace
 
 LatencyHistogram::LatencyHistogram()
-    : histogram(std::make_tuple(LogarithmicAxis(axisBucketCount, lowerBoundSeconds, upperBoundOfAllSeconds)))
+    : histogram(std::make_tuple(LogarithmicAxis(axisBucketCount, smallestBoundSeconds, largestBoundSeconds)))
 {
 }
 
@@ -22,8 +22,8 @@
 {
     double seconds = std::chrono::duration<double>(duration).count();
     this->histogram(seconds);
-    this->recorded += 1;
-    this->sum += seconds;
+    this->recordedCount += 1;
+    this->recordedSeconds += seconds;
 }
 
 int LatencyHistogram::bucketCount() const { return axisBucketCount + 1; }
@@ -31,7 +31,7 @@
 double LatencyHistogram::upperBoundSeconds(int bucket) const
 {
     if (bucket == 0)
-        return lowerBoundSeconds;
+        return smallestBoundSeconds;
     return this->histogram.axis(0).bin(bucket - 1).upper();
 }
 
--- a/modules/metrics/registry/LatencyHistogram.h
+++ b/modules/metrics/registry/LatencyHistogram.h
@@ -11,21 +11,21 @@
 
 namespace Greengage {
 
-/// Counts durations in buckets that grow by a constant factor from 1 ms to 65.536 s.
+/// Counts durations in buckets whose upper bounds grow by a constant factor from 1 ms to 65.536 s.
 class LatencyHistogram {
 public:
     LatencyHistogram();
 
     void record(Microseconds duration);
 
-    std::uint64_t count() const { return this->recorded; }
-    double sumSeconds() const { return this->sum; }
+    std::uint64_t count() const { return this->recordedCount; }
+    double sumSeconds() const { return this->recordedSeconds; }
 
-    /// How many buckets there are, without the last one that has no upper bound.
+    /// Returns the number of buckets that have an upper bound; the last bucket, up to +Inf, is not counted.
     int bucketCount() const;
-    /// Upper bound of a bucket, in seconds.
+    /// Returns the upper bound of a bucket in seconds.
     double upperBoundSeconds(int bucket) const;
-    /// How many durations were at most the bucket's upper bound.
+    /// Returns how many recorded durations did not exceed the bucket's upper bound.
     std::uint64_t cumulativeCount(int bucket) const;
 
 private:
@@ -33,8 +33,8 @@
     using Storage = boost::histogram::dense_storage<std::uint64_t>;
 
     boost::histogram::histogram<std::tuple<LogarithmicAxis>, Storage> histogram;
-    std::uint64_t recorded = 0;
-    double sum = 0;
+    std::uint64_t recordedCount = 0;
+    double recordedSeconds = 0;
 };
 
 } // namespace Greengage
--- a/modules/metrics/registry/MetricsRegistry.cpp
+++ b/modules/metrics/registry/MetricsRegistry.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-/// Bounds the memory that label values from outside can take: further series of a family share one.
+/// Bounds the memory that label values from outside the process can use: further series of a family share one overflow
+/// series.
 constexpr std::size_t maxSeriesPerFamily = 4096;
 constexpr std::string_view overflowLabelName = "overflow";
 
@@ -25,7 +26,7 @@
     return escaped;
 }
 
-std::string printLabels(const std::vector<Label>& labels, std::string_view upperBound = {})
+std::string formatLabels(const std::vector<Label>& labels, std::string_view upperBound = {})
 {
     std::string text;
     for (const auto& label : labels)
@@ -35,21 +36,21 @@
     return text.empty() ? text : "{" + text + "}";
 }
 
-std::string printHeader(std::string_view name, std::string_view help, std::string_view type)
+std::string formatHeader(std::string_view name, std::string_view help, std::string_view type)
 {
     return fmt::format("# HELP {0} {1}\n# TYPE {0} {2}\n", name, help, type);
 }
 
-std::string printLatency(std::string_view name, const std::vector<Label>& labels, const LatencyHistogram& histogram)
+std::string formatHistogram(std::string_view name, const std::vector<Label>& labels, const LatencyHistogram& histogram)
 {
     std::string text;
     for (int bucket = 0; bucket < histogram.bucketCount(); ++bucket) {
         auto bound = fmt::format("{:.3f}", histogram.upperBoundSeconds(bucket));
-        text += fmt::format("{}_bucket{} {}\n", name, printLabels(labels, bound), histogram.cumulativeCount(bucket));
+        text += fmt::format("{}_bucket{} {}\n", name, formatLabels(labels, bound), histogram.cumulativeCount(bucket));
     }
-    text += fmt::format("{}_bucket{} {}\n", name, printLabels(labels, "+Inf"), histogram.count());
-    text += fmt::format("{}_sum{} {}\n", name, printLabels(labels), histogram.sumSeconds());
-    text += fmt::format("{}_count{} {}\n", name, printLabels(labels), histogram.count());
+    text += fmt::format("{}_bucket{} {}\n", name, formatLabels(labels, "+Inf"), histogram.count());
+    text += fmt::format("{}_sum{} {}\n", name, formatLabels(labels), histogram.sumSeconds());
+    text += fmt::format("{}_count{} {}\n", name, formatLabels(labels), histogram.count());
     return text;
 }
 
@@ -63,8 +64,8 @@
     if (found == families.end())
         found = families.emplace(std::string(name), Family<Metric> { std::string(help), {} }).first;
     auto& series = found->second.series;
-    bool full = series.size() >= maxSeriesPerFamily;
-    if (full && !series.contains(labels))
+    bool isFull = series.size() >= maxSeriesPerFamily;
+    if (isFull && !series.contains(labels))
         labels = { Label { std::string(overflowLabelName), "true" } };
     return series[std::move(labels)];
 }
@@ -81,26 +82,26 @@
 
 LatencyHistogram& MetricsRegistry::latency(std::string_view name, std::string_view help, std::vector<Label> labels)
 {
-    return findOrCreate(this->latencies, name, help, std::move(labels));
+    return findOrCreate(this->histograms, name, help, std::move(labels));
 }
 
 std::string MetricsRegistry::exposition() const
 {
     std::string text;
     for (const auto& [name, family] : this->counters) {
-        text += printHeader(name, family.help, "counter");
+        text += formatHeader(name, family.help, "counter");
         for (const auto& [labels, counter] : family.series)
-            text += fmt::format("{}{} {}\n", name, printLabels(labels), counter.value());
+            text += fmt::format("{}{} {}\n", name, formatLabels(labels), counter.value());
     }
     for (const auto& [name, family] : this->gauges) {
-        text += printHeader(name, family.help, "gauge");
+        text += formatHeader(name, family.help, "gauge");
         for (const auto& [labels, gauge] : family.series)
-            text += fmt::format("{}{} {}\n", name, printLabels(labels), gauge.value());
+            text += fmt::format("{}{} {}\n", name, formatLabels(labels), gauge.value());
     }
-    for (const auto& [name, family] : this->latencies) {
-        text += printHeader(name, family.help, "histogram");
+    for (const auto& [name, family] : this->histograms) {
+        text += formatHeader(name, family.help, "histogram");
         for (const auto& [labels, histogram] : family.series)
-            text += printLatency(name, labels, histogram);
+            text += formatHistogram(name, labels, histogram);
     }
     return text;
 }
--- a/modules/metrics/registry/MetricsRegistry.h
+++ b/modules/metrics/registry/MetricsRegistry.h
@@ -13,15 +13,17 @@
 
 namespace Greengage {
 
-/// All series of one process. Ask for a series by name, help text and labels; the same name and labels give the same
-/// object, which lives as long as the registry. Metric names end in their unit, such as "_seconds" or "_total".
+/// Owns all time series of one process. Each accessor returns the series with a name and labels, and creates it on
+/// first use; the reference stays valid as long as the registry. The help text of a name is the one given first. Metric
+/// names end in their unit, such as "_seconds" or "_total".
 class MetricsRegistry {
 public:
     Counter& counter(std::string_view name, std::string_view help, std::vector<Label> labels = {});
     Gauge& gauge(std::string_view name, std::string_view help, std::vector<Label> labels = {});
     LatencyHistogram& latency(std::string_view name, std::string_view help, std::vector<Label> labels = {});
 
-    /// All series in the Prometheus text exposition format, version 0.0.4, in the order of their names.
+    /// Formats all series in the Prometheus text exposition format, version 0.0.4: counters, then gauges, then
+    /// histograms, each ordered by name.
     std::string exposition() const;
 
 private:
@@ -37,7 +39,7 @@
 
     Families<Counter> counters;
     Families<Gauge> gauges;
-    Families<LatencyHistogram> latencies;
+    Families<LatencyHistogram> histograms;
 };
 
 } // namespace Greengage
--- a/modules/metrics/tests/BurnTests.cpp
+++ b/modules/metrics/tests/BurnTests.cpp
@@ -22,7 +22,7 @@
 
 BOOST_AUTO_TEST_SUITE(Burn)
 
-BOOST_AUTO_TEST_CASE(shortWindowForgetsWhatTheLongOneKeeps)
+BOOST_AUTO_TEST_CASE(requestsExpireFromTheShortWindowFirst)
 {
     ManualClock clock;
     BurnTable table;
@@ -38,7 +38,7 @@
     BOOST_TEST(table.rows(clock.current()).empty());
 }
 
-BOOST_AUTO_TEST_CASE(countsSpanAtLeastTheWholeWindow)
+BOOST_AUTO_TEST_CASE(countsCoverAtLeastTheWholeWindow)
 {
     ManualClock clock;
     SlidingCounts counts(std::chrono::minutes(5));
@@ -51,7 +51,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(rowsSurviveTheCodecAndSumOverDaemons)
+BOOST_AUTO_TEST_CASE(decodedRowsAreSummedOverDaemons)
 {
     ManualClock clock;
     BurnTable table;
@@ -69,7 +69,7 @@
     BOOST_TEST(report.html().find("<td>2/20</td>") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(malformedRowsAreRefused)
+BOOST_AUTO_TEST_CASE(malformedRowsAreRejected)
 {
     BOOST_TEST(!decodeBurnRows("").has_value());
     BOOST_TEST(!decodeBurnRows("{\"rows\":[{}]}").has_value());
@@ -79,7 +79,7 @@
     BOOST_TEST(!decodeBurnRows(inconsistent).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(namesCannotInjectMarkup)
+BOOST_AUTO_TEST_CASE(htmlReportEscapesNames)
 {
     BurnRow row { ServiceId("<script>"), TeamId("a&b"), objectivePercent, {} };
     row.windows.fill({ 10, 1 });
--- a/modules/metrics/tests/RegistryTests.cpp
+++ b/modules/metrics/tests/RegistryTests.cpp
@@ -5,7 +5,7 @@
 
 BOOST_AUTO_TEST_SUITE(Registry)
 
-BOOST_AUTO_TEST_CASE(seriesAreFoundAgainByNameAndLabels)
+BOOST_AUTO_TEST_CASE(sameNameAndLabelsReturnTheSameSeries)
 {
     MetricsRegistry registry;
     registry.counter("requests_total", "Requests", { { "queue", "quotes" } }).add();
@@ -18,7 +18,7 @@
            "# HELP waiting Waiting requests\n# TYPE waiting gauge\nwaiting 4\n");
 }
 
-BOOST_AUTO_TEST_CASE(latencyCountsAreCumulativeAndLoseNothing)
+BOOST_AUTO_TEST_CASE(latencyCountsAreCumulativeAndIncludeEveryDuration)
 {
     LatencyHistogram histogram;
     histogram.record(Microseconds(200));
@@ -32,7 +32,7 @@
     BOOST_TEST(histogram.count() == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(labelValuesFromOutsideCannotGrowAFamilyWithoutBound)
+BOOST_AUTO_TEST_CASE(seriesBeyondTheLimitShareTheOverflowSeries)
 {
     MetricsRegistry registry;
     constexpr int submitted = 5000;
