--- a/modules/jobs/codec/CompactJson.cpp
+++ b/modules/jobs/codec/CompactJson.cpp
@@ -33,7 +33,7 @@
         if (!reader->parse(text.data(), text.data() + text.size(), &value, nullptr) || !value.isObject())
             return std::nullopt;
     } catch (const Json::Exception&) {
-        // jsoncpp throws where nesting passes its limit; the text is malformed either way.
+        // jsoncpp throws if the nesting exceeds its limit. Such a text counts as malformed, too.
         return std::nullopt;
     }
     return value;
--- a/modules/jobs/codec/CompactJson.h
+++ b/modules/jobs/codec/CompactJson.h
@@ -7,10 +7,10 @@
 
 namespace Greengage {
 
-/// The value as JSON on one line without spaces.
+/// Returns the value as JSON on one line without spaces.
 std::string toCompactJson(const Json::Value&);
 
-/// The JSON object in the text; nothing if the text is no JSON object. Numbers, strings and nesting are bounded by the
+/// Parses a JSON object. Returns nullopt if the text is anything else. Numbers, strings and nesting are bounded by the
 /// size of the text.
 std::optional<Json::Value> parseJsonObject(std::string_view text);
 
--- a/modules/jobs/codec/JobProgressCodec.cpp
+++ b/modules/jobs/codec/JobProgressCodec.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// A task within its job: the task's text form without the job.
-std::string suffixOf(const TaskName& task)
+/// Returns the text form of the task without its job: OCCURRENCE.STEP.INDEX.
+std::string taskSuffix(const TaskName& task)
 {
     return std::to_string(task.occurrence) + '.' + std::to_string(task.step) + '.' + std::to_string(task.index);
 }
@@ -18,15 +18,15 @@
 {
     Json::Value value(Json::objectValue);
     for (const auto& task : progress.done)
-        value["done"].append(suffixOf(task));
+        value["done"].append(taskSuffix(task));
     for (const auto& [task, placement] : progress.placements) {
-        Json::Value& row = value["placed"][suffixOf(task)];
+        Json::Value& row = value["placed"][taskSuffix(task)];
         row.append(placement.worker.string());
         row.append(placement.run);
     }
     for (const auto& [task, runs] : progress.failedRuns) {
         for (auto run : runs)
-            value["failedRuns"][suffixOf(task)].append(run);
+            value["failedRuns"][taskSuffix(task)].append(run);
     }
     return toCompactJson(value);
 }
@@ -62,7 +62,7 @@
                 progress.failedRuns[*task].insert(run.asUInt());
         }
     } catch (const Json::Exception&) {
-        // A field of another type: the text is not ours.
+        // A field has an unexpected type, so `encode` did not write this text.
         return std::nullopt;
     }
     return progress;
--- a/modules/jobs/codec/JobProgressCodec.h
+++ b/modules/jobs/codec/JobProgressCodec.h
@@ -9,12 +9,12 @@
 
 namespace Greengage {
 
-/// The text under which a job's progress is stored.
+/// Converts the progress of a job to the text in which it is stored, and back.
 class JobProgressCodec {
 public:
     std::string encode(const JobProgress&) const;
 
-    /// Nothing if the text was not written by `encode`. `job` is the job that the tasks belong to.
+    /// Returns nullopt if `encode` did not write the text. `job` is the job that the tasks belong to.
     std::optional<JobProgress> decode(const JobId& job, std::string_view text) const;
 };
 
--- a/modules/jobs/codec/JobRecordCodec.cpp
+++ b/modules/jobs/codec/JobRecordCodec.cpp
@@ -109,7 +109,7 @@
             return std::nullopt;
         return record;
     } catch (const Json::Exception&) {
-        // A field of another type: the text is not ours.
+        // A field has an unexpected type, so `encode` did not write this text.
         return std::nullopt;
     }
 }
--- a/modules/jobs/codec/JobRecordCodec.h
+++ b/modules/jobs/codec/JobRecordCodec.h
@@ -8,12 +8,12 @@
 
 namespace Greengage {
 
-/// The text under which an accepted job is stored.
+/// Converts an accepted job to the text in which it is stored, and back.
 class JobRecordCodec {
 public:
     std::string encode(const JobRecord&) const;
 
-    /// Nothing if the text was not written by `encode`.
+    /// Returns nullopt if `encode` did not write the text.
     std::optional<JobRecord> decode(std::string_view text) const;
 };
 
--- a/modules/jobs/jobs.h
+++ b/modules/jobs/jobs.h
@@ -1,5 +1,5 @@
-// Purpose: jobs of several steps, placed as tasks on leased workers. Tables of jobs, workers and attempts, the systems
-// that decide over them, and the form in which jobs and their progress are stored. Knows no socket, clock or log.
+// Purpose: jobs of several steps, whose tasks are placed on leased workers. Tables of jobs, workers and attempts, the
+// systems that make decisions on them, and the stored form of jobs and their progress. Uses no socket, clock or log.
 // Dependencies: core, jsoncpp.
 #pragma once
 
--- a/modules/jobs/model/AdviceAnswer.h
+++ b/modules/jobs/model/AdviceAnswer.h
@@ -8,10 +8,11 @@
 
 namespace Greengage {
 
-/// The workers that may run a step, of those asked about, with the text of the ticket for each.
+/// The answer of the advice service: which of the workers in the question may run the step, with the text of the ticket
+/// for each.
 struct AdviceAnswer {
     std::map<WorkerId, std::string> fit;
-    /// How long the tickets are valid from now on.
+    /// How long the tickets are valid, counted from the arrival of the answer.
     Milliseconds validFor { 0 };
 };
 
--- a/modules/jobs/model/AdvicePolicy.h
+++ b/modules/jobs/model/AdvicePolicy.h
@@ -4,12 +4,14 @@
 
 namespace Greengage {
 
-/// How the advice service answers for a queue: it says which workers may run a step, and gives a ticket for each.
+/// Timing of the advice service for one queue. The service says which workers may run a step and issues a ticket for
+/// each of them.
 struct AdvicePolicy {
-    /// How long a call takes, and how much longer for each worker that it names.
+    /// Duration of a call, without the time for each worker that it names.
     Milliseconds decisionTime { 0 };
+    /// Additional duration for each worker that the call names.
     Milliseconds timePerWorker { 0 };
-    /// How long a ticket lets tasks of its step start.
+    /// How long tasks of the step may be started with a ticket.
     Milliseconds ticketLifetime { 0 };
 };
 
--- a/modules/jobs/model/AdviceQuestion.h
+++ b/modules/jobs/model/AdviceQuestion.h
@@ -8,12 +8,12 @@
 
 namespace Greengage {
 
-/// Asks the advice service which of these workers may run the tasks of a step.
+/// A question to the advice service: which of these workers may run the tasks of a step?
 struct AdviceQuestion {
-    /// The step; the index is not used.
+    /// Names the step; the task index is ignored.
     TaskName step;
     std::vector<WorkerId> workers;
-    /// How long the service takes for it.
+    /// Expected duration of the call.
     Milliseconds takes { 0 };
 };
 
--- a/modules/jobs/model/Demand.h
+++ b/modules/jobs/model/Demand.h
@@ -4,7 +4,7 @@
 
 namespace Greengage {
 
-/// An amount of a worker's resources: what a task occupies, what a worker has, or what a team may use.
+/// An amount of resources: what a task occupies, what a worker has, or what a team may use.
 struct Demand {
     /// Thousandths of a core.
     std::int64_t cpuMillis = 0;
@@ -30,11 +30,11 @@
     friend Demand operator+(Demand left, const Demand& right) { return left += right; }
     friend Demand operator-(Demand left, const Demand& right) { return left -= right; }
 
-    /// Whether this amount is within `room` in every resource.
-    bool fitsIn(const Demand& room) const
+    /// Whether each resource of this amount is at most that of `free`.
+    bool fitsIn(const Demand& free) const
     {
-        return this->cpuMillis <= room.cpuMillis && this->memoryMegabytes <= room.memoryMegabytes
-            && this->accelerators <= room.accelerators;
+        return this->cpuMillis <= free.cpuMillis && this->memoryMegabytes <= free.memoryMegabytes
+            && this->accelerators <= free.accelerators;
     }
 };
 
--- a/modules/jobs/model/EndKind.h
+++ b/modules/jobs/model/EndKind.h
@@ -4,7 +4,7 @@
 
 namespace Greengage {
 
-/// How an attempt ended on its worker.
+/// How an attempt ended on its worker, as reported by the worker.
 enum class EndKind {
     Done,
     Failed,
--- a/modules/jobs/model/JobPolicies.h
+++ b/modules/jobs/model/JobPolicies.h
@@ -9,7 +9,7 @@
 
 namespace Greengage {
 
-/// One version of everything that operators decide and that placement obeys.
+/// One version of the operators' settings for queues, teams and pools, which placement follows.
 struct JobPolicies {
     std::int64_t version = 0;
     std::unordered_map<QueueId, QueuePolicy> queues;
--- a/modules/jobs/model/JobProgress.h
+++ b/modules/jobs/model/JobProgress.h
@@ -9,18 +9,18 @@
 
 namespace Greengage {
 
-/// Where a task was ordered to start.
+/// The worker and the attempt number with which a task was ordered to start.
 struct TaskPlacement {
     WorkerId worker;
     std::uint32_t run = 0;
 };
 
-/// What has to outlive the daemon that places a job's tasks.
+/// The progress of a job that is stored, so that a later leader can continue the job.
 struct JobProgress {
     std::set<TaskName> done;
-    /// Where the other tasks were ordered to start. A task that is not here has not been started anywhere.
+    /// Placements of the tasks that are not done. A task without a placement has not been started on any worker.
     std::map<TaskName, TaskPlacement> placements;
-    /// The numbers of the attempts that failed, so that an end that is reported again is not counted twice.
+    /// Numbers of the attempts that failed, so that a failure which is reported again is not counted twice.
     std::map<TaskName, std::set<std::uint32_t>> failedRuns;
 };
 
--- a/modules/jobs/model/JobRecord.h
+++ b/modules/jobs/model/JobRecord.h
@@ -7,13 +7,13 @@
 
 namespace Greengage {
 
-/// An accepted job as it is stored.
+/// An accepted job, as it is stored.
 struct JobRecord {
     JobId id;
     QueueId queue;
-    /// Empty for a job on a queue that is open to all.
+    /// Empty for a job on a queue that is open to all teams.
     TeamId team;
-    /// When a daemon received the submission, by that daemon's time of day.
+    /// When a daemon received the submission, by the system clock of that daemon.
     std::int64_t receivedUnixMs = 0;
     JobSpec spec;
 };
--- a/modules/jobs/model/JobSpec.h
+++ b/modules/jobs/model/JobSpec.h
@@ -8,12 +8,12 @@
 
 namespace Greengage {
 
-/// What a caller asks to be run.
+/// The work that a caller submits.
 struct JobSpec {
-    /// Passed to every task unread.
+    /// Passed unchanged to every task.
     std::string payload;
     std::vector<StepSpec> steps;
-    /// Above zero, the steps run this many times, at `firstDueUnixMs` and every `intervalMs` after it.
+    /// If above zero, the steps run this many times: at `firstDueUnixMs` and every `intervalMs` after it.
     std::uint32_t occurrences = 0;
     std::int64_t firstDueUnixMs = 0;
     std::int64_t intervalMs = 0;
--- a/modules/jobs/model/MachineFacts.h
+++ b/modules/jobs/model/MachineFacts.h
@@ -25,14 +25,14 @@
     } };
 };
 
-/// A VM of the fleet and the worker that lives on it.
+/// A VM of the fleet and the worker that runs on it.
 struct MachineFacts {
     VmId id;
     PoolId pool;
     MachineState state = MachineState::Down;
     std::vector<std::string> labels;
     Demand capacity;
-    /// Empty if the VM is off.
+    /// Empty if the VM is switched off.
     WorkerId worker;
 };
 
--- a/modules/jobs/model/PoolPolicy.h
+++ b/modules/jobs/model/PoolPolicy.h
@@ -4,12 +4,12 @@
 
 namespace Greengage {
 
-/// What operators decide about one pool of VMs.
+/// The operators' settings for one pool of VMs.
 struct PoolPolicy {
     PoolId id;
-    /// VMs of the spare pool are switched off.
+    /// Whether this is the spare pool, whose VMs are switched off.
     bool spare = false;
-    /// Whether workers refuse by themselves what exceeds their capacity.
+    /// Whether the workers themselves refuse tasks that exceed their capacity.
     bool enforcesCapacity = true;
 };
 
--- a/modules/jobs/model/QueuePolicy.h
+++ b/modules/jobs/model/QueuePolicy.h
@@ -9,19 +9,19 @@
 
 namespace Greengage {
 
-/// What operators decide about one queue.
+/// The operators' settings for one queue.
 struct QueuePolicy {
     QueueId id;
     /// The pool whose workers run the queue's tasks.
     PoolId pool;
-    /// Lower numbers go first.
+    /// Jobs of queues with lower numbers are placed first.
     int priority = 0;
-    /// A task that has failed this often fails its job.
+    /// Failed attempts of one task after which its job fails.
     std::uint32_t maxAttempts = 1;
-    /// A job is on time if it ends within this many times its longest chain of work, and `slack` more.
+    /// A job is on time if it ends within `stretch` times the estimate of its critical path, plus `slack`.
     double stretch = 1;
     Milliseconds slack { 0 };
-    /// Set if the queue's tasks need tickets from the advice service before they start.
+    /// Set if tasks of the queue need a ticket from the advice service before they can start.
     std::optional<AdvicePolicy> advice;
 };
 
--- a/modules/jobs/model/StartOutcome.h
+++ b/modules/jobs/model/StartOutcome.h
@@ -4,26 +4,26 @@
 
 namespace Greengage {
 
-/// What came of an order to start an attempt.
+/// The result of an order to start an attempt.
 enum class StartOutcome {
     Accepted,
-    /// The worker has seen a higher fencing token.
+    /// The worker has already seen a higher fencing token.
     Fenced,
-    /// The worker has stopped or ended this attempt number or a higher one.
+    /// On the worker, this attempt number or a higher one of the task has been stopped or has ended.
     Outdated,
-    /// The order's deadline had passed at the worker.
+    /// The deadline of the order had passed when it reached the worker.
     TooLate,
     NoRoom,
     NoTicket,
-    /// The worker did nothing because it is unhealthy or overloaded.
+    /// The worker refused because it is unhealthy or overloaded.
     Unhealthy,
-    /// The order can never be carried out as it stands.
+    /// The order can never be carried out in its present form.
     Invalid,
-    /// Another life of the worker answered.
+    /// The worker has restarted: another incarnation of it answered.
     OtherLife,
-    /// The order did not leave this process.
+    /// The order was not sent.
     NotSent,
-    /// No answer; the worker may have carried the order out, or may do so later.
+    /// There was no answer. The worker may have carried out the order, or may still do so.
     NoAnswer,
 };
 
--- a/modules/jobs/model/TaskName.h
+++ b/modules/jobs/model/TaskName.h
@@ -9,17 +9,17 @@
 
 namespace Greengage {
 
-/// Names one task of one job.
+/// Identifies one task of one job.
 struct TaskName {
     JobId job;
     std::uint32_t occurrence = 0;
     std::uint32_t step = 0;
     std::uint32_t index = 0;
 
-    /// The text form JOB.OCCURRENCE.STEP.INDEX.
+    /// Returns the text form JOB.OCCURRENCE.STEP.INDEX.
     std::string text() const;
 
-    /// Nothing if the text has another form.
+    /// Parses the result of `text`. Returns nullopt if the text has another form.
     static std::optional<TaskName> parse(std::string_view text);
 
     friend auto operator<=>(const TaskName&, const TaskName&) = default;
--- a/modules/jobs/model/TeamPolicy.h
+++ b/modules/jobs/model/TeamPolicy.h
@@ -5,12 +5,12 @@
 
 namespace Greengage {
 
-/// What operators decide about one team.
+/// The operators' settings for one team.
 struct TeamPolicy {
     TeamId id;
-    /// The team's part, relative to other teams, when a pool is full.
+    /// Weight of the team relative to other teams when a pool is full.
     double weight = 1;
-    /// The most that the team may have running across all pools; zero in a resource means no limit there.
+    /// Maximum that the team may have running across all pools; zero in a resource means no limit.
     Demand maximum;
 };
 
--- a/modules/jobs/model/UpkeepWave.h
+++ b/modules/jobs/model/UpkeepWave.h
@@ -10,15 +10,15 @@
 
 namespace Greengage {
 
-/// An operators' order to take each of a set of VMs down for upkeep.
+/// An order of the operators to take each of a set of VMs down for maintenance.
 struct UpkeepWave {
     std::int64_t number = 0;
     std::vector<VmId> machines;
-    /// At most this many of them may be down at a time.
+    /// How many of these VMs may be down at a time.
     std::uint32_t maximum = 1;
-    /// When all are to have been down.
+    /// When the maintenance of all VMs is to have begun.
     Deadline dueBy;
-    /// VMs whose upkeep has begun or is over.
+    /// VMs whose maintenance has begun or is complete.
     std::set<VmId> done;
 };
 
--- a/modules/jobs/model/WorkerFacts.h
+++ b/modules/jobs/model/WorkerFacts.h
@@ -9,7 +9,7 @@
 
 namespace Greengage {
 
-/// What a worker says of itself in the directory of workers.
+/// A worker's entry in the directory of workers.
 struct WorkerFacts {
     WorkerId id;
     PoolId pool;
@@ -18,9 +18,10 @@
     ZoneId zone;
     Demand capacity;
     std::vector<std::string> labels;
-    /// Empty if the worker does not say.
+    /// Empty if the worker does not report it.
     std::string rack;
-    /// Distinguishes the lives of a worker: the time of its start in Unix milliseconds, 0 if it does not say.
+    /// Identifies the incarnation of the worker: its start time in Unix milliseconds; 0 if the worker does not report
+    /// it.
     std::int64_t bornUnixMs = 0;
     bool draining = false;
 };
--- a/modules/jobs/model/WorkerReport.h
+++ b/modules/jobs/model/WorkerReport.h
@@ -9,18 +9,19 @@
 
 namespace Greengage {
 
-/// An attempt that a worker is running.
+/// An attempt that is running on a worker.
 struct RunningAttempt {
     TaskName task;
     std::uint32_t run = 0;
     std::string checkpoint;
-    /// The share of its speed at which the attempt works, 0 to 100.
+    /// The speed at which the attempt runs, in percent of full speed: 0 to 100.
     int pacePercent = 100;
-    /// For a serving task the tail of its response times in milliseconds, otherwise the processor time in use.
+    /// For a latency-sensitive task, the tail of its response times in milliseconds; otherwise the processor time in
+    /// use.
     std::int64_t load = 0;
 };
 
-/// An attempt that has ended on a worker, under the worker's own running number.
+/// An attempt that has ended on a worker. `number` is the worker's own sequence number of the end.
 struct EndedAttempt {
     std::uint64_t number = 0;
     TaskName task;
@@ -31,12 +32,12 @@
 
 /// A worker's answer to a renewal of its lease.
 struct WorkerReport {
-    /// The worker's own steady clock when it answered.
+    /// The worker's steady clock at the time of its answer, in milliseconds.
     std::int64_t clockMs = 0;
     std::int64_t bornUnixMs = 0;
     std::vector<RunningAttempt> running;
     std::vector<EndedAttempt> ended;
-    /// False if more ends exist than the report had room for.
+    /// False if there are more ends than fit into the report.
     bool endsComplete = true;
 };
 
