--- a/modules/jobs/board/Attempt.h
+++ b/modules/jobs/board/Attempt.h
@@ -12,16 +12,16 @@
 namespace Greengage {
 
 enum class AttemptPhase {
-    /// Decided, but not stored yet, so that no order has been sent.
+    /// Planned but not yet stored, so no order has been sent.
     Planned,
-    /// The write that stores it is under way.
+    /// The write that stores the attempt is in progress.
     Recording,
-    /// The order to start is under way.
+    /// The start order has been sent and its answer is pending.
     Ordered,
-    /// The order got no answer; it may have been carried out, or may be until it expires.
+    /// The start order got no answer. The worker may have carried it out, or may still do so until it expires.
     Unanswered,
     Running,
-    /// The worker is to stop it.
+    /// The worker has to stop the attempt.
     Stopping,
 };
 
@@ -36,48 +36,52 @@
     } };
 };
 
-/// One start of one task on one worker, from the order until its end is known.
+/// One run of one task on one worker, from the planning of its start until its end is known.
 struct Attempt {
     TaskName task;
     std::uint32_t run = 0;
     AttemptPhase phase = AttemptPhase::Planned;
     TeamId team;
-    /// What the attempt takes of the worker's room.
-    Demand occupies;
-    /// What counts against the team's maximum.
+    /// The part of the worker's capacity that the attempt occupies.
+    Demand occupied;
+    /// The resources that count against the team's maximum.
     Demand charged;
     Instant orderedAt;
-    /// From then on the worker refuses the order as too late.
+    /// The time from which the worker refuses the start order as too late.
     Deadline orderExpires;
-    /// When it was last known to run; reports sent earlier say nothing about it.
+    /// When the attempt was last known to run. Reports that answer an earlier question say nothing about it.
     Instant confirmedAt;
-    /// Whether an order to start may have left this process or an earlier holder's.
-    bool mayBeSent() const { return this->phase != AttemptPhase::Planned && this->phase != AttemptPhase::Recording; }
+    /// Whether this leader or an earlier one may have sent a start order.
+    bool mayHaveBeenSent() const
+    {
+        return this->phase != AttemptPhase::Planned && this->phase != AttemptPhase::Recording;
+    }
 
-    /// The worker is known to have carried the order out.
+    /// Whether the worker is known to have carried out the start order.
     bool isAnswered = false;
     bool fills = false;
-    /// The response time that it must keep; zero if it serves none.
+    /// Target for the tail of the response times; zero if the attempt is not latency-sensitive.
     Milliseconds tailTarget { 0 };
-    bool serves() const { return this->tailTarget.count() > 0; }
+    bool isLatencySensitive() const { return this->tailTarget.count() > 0; }
 
-    bool lasts = false;
-    /// A stop order is under way.
+    bool isLongRunning = false;
+    /// A stop order has been sent and its answer is pending.
     bool stopUnderWay = false;
-    /// Not before then is a stop ordered again.
+    /// The earliest time of the next stop order.
     Deadline nextStop;
     std::string checkpoint;
-    /// Goes with the order to start, if the queue's tasks need one.
+    /// Sent with the start order if tasks of the queue need a ticket.
     std::string ticket;
-    /// The share of its speed at which it works, in percent, by the latest report, and the one that it should have.
+    /// The speed that the worker last reported, in percent of full speed.
     int pacePercent = 100;
+    /// The speed that the attempt should have, in percent of full speed.
     int wantedPace = 100;
-    /// Not before then is its pace changed again, unless a serving task is over its target.
-    Deadline paceSettled;
-    /// An order to change its pace is under way.
+    /// The earliest time of the next change of `wantedPace`, unless a latency-sensitive task exceeds its target.
+    Deadline nextSpeedChange;
+    /// An order to change the speed has been sent and its answer is pending.
     bool paceUnderWay = false;
-    /// A lasting task is past its start and not paced down, by the latest report.
-    bool isAtWork = false;
+    /// Whether a long-running task has finished starting and is not throttled, by the latest report.
+    bool isAtFullSpeed = false;
     std::int64_t load = 0;
 };
 
--- a/modules/jobs/board/JobBoard.cpp
+++ b/modules/jobs/board/JobBoard.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-std::vector<OccurrenceRow> emptyOccurrences(const JobSpec& spec)
+std::vector<OccurrenceRow> makeOccurrences(const JobSpec& spec)
 {
     std::vector<OccurrenceRow> occurrences(std::max<std::uint32_t>(1, spec.occurrences));
     for (std::size_t index = 0; index < occurrences.size(); ++index) {
@@ -31,7 +31,7 @@
         return false;
     JobRow& job = entry->second;
     job.record = std::move(record);
-    job.occurrences = emptyOccurrences(job.record.spec);
+    job.occurrences = makeOccurrences(job.record.spec);
     job.hasStarted = !progress.done.empty() || !progress.failedRuns.empty() || !progress.placements.empty();
     for (const auto& [task, runs] : progress.failedRuns) {
         if (auto* row = this->findTask(task))
@@ -49,7 +49,7 @@
     job.state = state;
     this->markUnrecorded(job);
     this->forEachAttempt(job, [this](WorkerRow& worker, Attempt& attempt) {
-        if (attempt.mayBeSent())
+        if (attempt.mayHaveBeenSent())
             attempt.phase = AttemptPhase::Stopping;
         else
             this->releaseAttempt(worker, TaskName(attempt.task));
@@ -65,13 +65,13 @@
         for (auto& [workerId, worker] : this->workers) {
             auto attempt = worker.attempts.lower_bound(TaskName { id });
             while (attempt != worker.attempts.end() && attempt->first.job == id) {
-                Attempt stray = attempt->second;
+                Attempt orphan = attempt->second;
                 auto next = std::next(attempt);
                 this->releaseAttempt(worker, attempt->first);
-                stray.phase = AttemptPhase::Stopping;
-                worker.occupied += stray.occupies;
-                this->usage[stray.team] += stray.charged;
-                worker.strays.emplace(std::pair(stray.task, stray.run), stray);
+                orphan.phase = AttemptPhase::Stopping;
+                worker.occupied += orphan.occupied;
+                this->usage[orphan.team] += orphan.charged;
+                worker.strays.emplace(std::pair(orphan.task, orphan.run), orphan);
                 attempt = next;
             }
         }
@@ -129,7 +129,7 @@
         if (!row || row->phase != TaskPhase::Waiting)
             continue;
         row->run = placement.run;
-        // A worker that is neither listed nor on the stored list holds no lease any more.
+        // A worker that is neither in the directory nor on the stored worker roster holds no lease any more.
         if (!worker || worker->attempts.contains(task))
             continue;
         this->beginAttempt(*worker, job, task, placement.run, AttemptPhase::Unanswered, now);
@@ -150,19 +150,19 @@
     attempt.task = task;
     attempt.run = run;
     attempt.phase = phase;
-    if (attempt.mayBeSent())
+    if (attempt.mayHaveBeenSent())
         this->noteStarted(job);
     attempt.team = job.record.team;
     attempt.charged = step.demand;
-    attempt.occupies = step.occupies();
+    attempt.occupied = step.occupiedPerTask();
     attempt.fills = step.fills;
     attempt.tailTarget = step.tailTarget;
-    attempt.lasts = step.lasting;
+    attempt.isLongRunning = step.lasting;
     worker.fillingCount += attempt.fills ? 1 : 0;
-    worker.servingCount += attempt.serves() ? 1 : 0;
+    worker.latencySensitiveCount += attempt.isLatencySensitive() ? 1 : 0;
     attempt.orderedAt = now;
     attempt.confirmedAt = now;
-    worker.occupied += attempt.occupies;
+    worker.occupied += attempt.occupied;
     this->usage[attempt.team] += attempt.charged;
     return worker.attempts[task] = attempt;
 }
@@ -180,9 +180,9 @@
     if (found == worker.attempts.end())
         return;
     const Attempt& attempt = found->second;
-    worker.occupied -= attempt.occupies;
+    worker.occupied -= attempt.occupied;
     worker.fillingCount -= attempt.fills ? 1 : 0;
-    worker.servingCount -= attempt.serves() ? 1 : 0;
+    worker.latencySensitiveCount -= attempt.isLatencySensitive() ? 1 : 0;
     this->usage[attempt.team] -= attempt.charged;
     TaskRow* row = this->findTask(task);
     if (row && row->phase == TaskPhase::Active && row->worker == worker.facts.id && row->run == attempt.run) {
@@ -246,8 +246,8 @@
         TaskName task = worker.attempts.begin()->first;
         this->releaseAttempt(worker, task);
     }
-    for (const auto& [key, stray] : worker.strays)
-        this->usage[stray.team] -= stray.charged;
+    for (const auto& [key, orphan] : worker.strays)
+        this->usage[orphan.team] -= orphan.charged;
     worker.strays.clear();
     worker.occupied = {};
     worker.endsSeen = 0;
--- a/modules/jobs/board/JobBoard.h
+++ b/modules/jobs/board/JobBoard.h
@@ -12,76 +12,77 @@
 
 namespace Greengage {
 
-/// The tables of the daemon that places tasks: jobs that have not ended, workers, and the attempts that bind the two.
-/// Its functions keep the tables consistent with each other; systems decide what to do.
+/// The job tables of the leader: jobs that have not ended, workers, and the attempts of those jobs on those workers.
+/// The member functions keep the tables consistent; the systems make the decisions.
 class JobBoard {
 public:
     std::unordered_map<JobId, JobRow> jobs;
     std::unordered_map<WorkerId, WorkerRow> workers;
     std::shared_ptr<const JobPolicies> policies = std::make_shared<JobPolicies>();
-    /// Jobs whose stored progress is behind, or that have ended and are still stored as open.
+    /// Jobs whose stored progress is out of date, or that have ended and are still stored as open.
     std::set<JobId> unrecorded;
-    /// Jobs that ended and were forgotten. A listing that is answered late may still show them as open.
+    /// Jobs that ended and were removed. A store listing whose answer is delayed may still contain them as open.
     std::set<JobId> forgotten;
-    /// What each team has on workers.
+    /// The resources that each team has in use on workers.
     std::unordered_map<TeamId, Demand> usage;
-    /// Attempt numbers below this one may have been used by an earlier placing daemon.
+    /// Attempt numbers below this one may have been used by an earlier leader.
     std::uint32_t lowestRun = 1;
-    /// Until then, a worker that has not been reached may still run what an earlier placing daemon started.
+    /// Until then, a worker that has not been reached may still run attempts that an earlier leader started.
     Deadline inheritedLeasesOver;
 
-    /// Adds a job. Returns false if it is there already, or has ended.
+    /// Adds a job. Returns false if the tables have it already or it has ended.
     bool addJob(JobRecord, const JobProgress&);
 
-    /// Ends a job: nothing of it starts any more, and what runs is stopped.
+    /// Ends a job: none of its tasks starts any more, and running attempts are stopped.
     void endJob(JobRow&, JobState);
 
-    /// Forgets a job that has ended and is stored as ended. What still runs of it becomes a stray of its worker. The id
-    /// is taken by value, since it is often that of the row which goes.
+    /// Removes a job that has ended and is stored as ended. Attempts of it that still run become orphaned attempts of
+    /// their workers. The id is passed by value, since callers often pass the id in the row that is erased.
     void forgetJob(JobId);
 
-    /// The task's row; null if the job is not here or has no such task.
+    /// Returns the row of the task, or null if the job is not in the tables or has no such task.
     TaskRow* findTask(const TaskName&);
     const StepSpec* findStep(const TaskName&) const;
     WorkerRow* findWorker(const WorkerId&);
     const WorkerRow* findWorker(const WorkerId&) const;
 
-    /// Whether the task's turn has come: the steps that it follows are done, and it is due.
+    /// Whether tasks of the step can start: the steps that it depends on are done, and the occurrence is due.
     bool isReady(const JobRow&, const OccurrenceRow&, std::uint32_t step, std::int64_t nowUnixMs) const;
 
-    /// Takes over what an earlier holder had placed on workers that are still known. Each such task counts as started
-    /// until its worker says otherwise or its lease is over.
+    /// Restores the placements that an earlier leader stored, for workers that are still known. Each such task counts
+    /// as started until its worker reports otherwise or the worker's lease has expired.
     void inherit(JobRow&, const std::map<TaskName, TaskPlacement>&, Instant now);
 
-    /// Binds a waiting task to a worker.
+    /// Adds an attempt of a waiting task on a worker.
     Attempt& beginAttempt(WorkerRow&, JobRow&, const TaskName&, std::uint32_t run, AttemptPhase, Instant now);
 
-    /// An order to start a task of the job has left, or has left an earlier holder.
+    /// Records that this leader or an earlier one has sent an order to start a task of the job.
     void noteStarted(JobRow&);
 
-    /// Removes an attempt; its task waits again unless it is done.
+    /// Removes an attempt. Its task waits again unless it is done.
     void releaseAttempt(WorkerRow&, const TaskName&);
 
-    /// A ticket for the task's step has been refused, so the service has to be asked again.
+    /// Removes a ticket that the worker refused, so that the advice service is asked again.
     void dropTicket(const TaskName&, const WorkerId&);
 
-    /// Marks a task as done. Its job is completed if it was the last one.
+    /// Marks a task as done. If it was the last one, the job is completed.
     void finishTask(JobRow&, const TaskName&);
 
-    /// Counts a failed attempt once, however often it is reported. The job fails if the task has failed as often as its
-    /// queue allows.
+    /// Counts a failed attempt, but only once if it is reported again. The job fails when the task has failed as often
+    /// as the queue allows.
     void countFailure(JobRow&, const TaskName&, std::uint32_t run, const WorkerId&);
 
-    /// Marks the job's stored progress as behind.
+    /// Marks the stored progress of the job as out of date.
     void markUnrecorded(JobRow&);
 
-    /// Releases all that a worker held, because that life of it is over, and forgets its reported ends.
+    /// Releases all attempts of a worker whose incarnation has ended, and resets its record of reported ends.
     void clearWorker(WorkerRow&);
 
-    /// What has to be stored of the job.
+    /// Returns the progress of the job that has to be stored.
     JobProgress progressOf(const JobRow&) const;
 
-    /// Visits the current attempts of a job's tasks, with their workers. The visit may release the attempt.
+    /// Calls `visit(WorkerRow&, Attempt&)` for the current attempt of each task of the job. `visit` may release the
+    /// attempt.
     template <typename Visit> void forEachAttempt(JobRow& job, Visit visit)
     {
         if (!job.activeTasks)
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Visits those of one step. The name's index is not used.
+    /// The same for one step. The index in `name` is ignored.
     template <typename Visit> void forEachAttempt(StepRow& step, TaskName name, Visit visit)
     {
         for (name.index = 0; name.index < step.tasks.size(); ++name.index) {
--- a/modules/jobs/board/JobRow.h
+++ b/modules/jobs/board/JobRow.h
@@ -15,19 +15,19 @@
 
 enum class TaskPhase {
     Waiting,
-    /// An attempt exists, in whatever phase.
+    /// An attempt of the task exists, in any phase.
     Active,
     Done,
 };
 
 struct TaskRow {
     TaskPhase phase = TaskPhase::Waiting;
-    /// Where the current attempt is, if the task is active.
+    /// The worker of the current attempt, if the task is active.
     WorkerId worker;
     std::uint32_t run = 0;
     std::set<std::uint32_t> failedRuns;
     std::string checkpoint;
-    /// The worker of the latest failed attempt, which is tried again last.
+    /// The worker of the latest failed attempt. It is the last choice for the next one.
     WorkerId failedOn;
 };
 
@@ -35,9 +35,9 @@
     std::vector<TaskRow> tasks;
     std::uint32_t doneCount = 0;
     std::uint32_t activeCount = 0;
-    /// When its turn had come at the first look.
+    /// When placement first found the step ready.
     std::optional<Instant> readyAt;
-    /// Only of a queue whose tasks need tickets.
+    /// Used only for queues whose tasks need tickets.
     StepAdvice advice;
 
     bool isDone() const { return this->doneCount == this->tasks.size(); }
@@ -53,7 +53,7 @@
     std::uint32_t doneSteps = 0;
 };
 
-/// What is known of one job that has not ended.
+/// The state of one job that has not ended, or whose end is not stored yet.
 struct JobRow {
     JobRecord record;
     std::vector<OccurrenceRow> occurrences;
@@ -61,11 +61,11 @@
     std::uint32_t doneOccurrences = 0;
     /// Waiting or Running until the job has ended.
     JobState state = JobState::Waiting;
-    /// The store's revision of the job's record.
+    /// The store revision of the job record.
     std::int64_t recordRevision = 0;
-    /// The store's revision of the stored progress, 0 if there is none.
+    /// The store revision of the stored progress; 0 if there is none.
     std::int64_t progressRevision = 0;
-    /// Whether any task of the job has ever been started, as far as is known.
+    /// Whether any task of the job is known to have been started.
     bool hasStarted = false;
 
     bool hasEnded() const { return this->state != JobState::Waiting && this->state != JobState::Running; }
--- a/modules/jobs/board/StepAdvice.h
+++ b/modules/jobs/board/StepAdvice.h
@@ -10,23 +10,23 @@
 
 namespace Greengage {
 
-/// Lets tasks of one step start on one worker.
+/// Permission to start tasks of one step on one worker.
 struct Ticket {
     std::string text;
-    /// The life of the worker for which it was given.
+    /// The incarnation of the worker for which the ticket was issued.
     std::int64_t bornUnixMs = 0;
     Deadline validUntil;
 };
 
-/// What the advice service has said about the workers for one step. Which workers may run a step does not change.
+/// The answers of the advice service for one step. Whether a worker may run a step does not change.
 struct StepAdvice {
     std::map<WorkerId, Ticket> tickets;
     std::set<WorkerId> unfit;
-    bool isBeingAsked = false;
-    /// Not before then is it asked again.
-    Deadline nextQuestion;
+    bool isRequestPending = false;
+    /// The earliest time of the next question for this step.
+    Deadline nextRequest;
 
-    /// The ticket for that life of the worker if it still lets a task start; null otherwise.
+    /// Returns the ticket for this incarnation of the worker if it is still valid, otherwise null.
     const Ticket* ticketFor(const WorkerId& worker, std::int64_t bornUnixMs, Instant now) const
     {
         auto found = this->tickets.find(worker);
--- a/modules/jobs/board/WorkerRow.h
+++ b/modules/jobs/board/WorkerRow.h
@@ -10,38 +10,38 @@
 
 namespace Greengage {
 
-/// What is known of one life of a worker.
+/// The state of one incarnation of a worker.
 struct WorkerRow {
     WorkerFacts facts;
     /// Whether the directory lists the worker.
     bool isListed = true;
-    /// Whether the worker is on the stored list of workers that may run tasks.
+    /// Whether the worker is on the stored worker roster.
     bool isRecorded = false;
-    /// Whether the worker has answered under the current fencing token, so that all it runs is known.
+    /// Whether the worker has answered under the current fencing token, so that all attempts on it are known.
     bool isReached = false;
-    /// The sum of what its attempts occupy.
+    /// The resources that its attempts occupy in total.
     Demand occupied;
     std::uint32_t fillingCount = 0;
-    std::uint32_t servingCount = 0;
+    std::uint32_t latencySensitiveCount = 0;
     std::map<TaskName, Attempt> attempts;
-    /// Attempts of tasks that are not on the board, which the worker is to stop.
+    /// Orphaned attempts: they run on the worker but are not in the tables, so the worker has to stop them.
     std::map<std::pair<TaskName, std::uint32_t>, Attempt> strays;
-    /// Ends with numbers up to this one have been taken in.
+    /// Reported ends with numbers up to this one have been applied.
     std::uint64_t endsSeen = 0;
-    /// Ends with numbers up to this one are stored, so the worker may forget them.
+    /// Reported ends with numbers up to this one are stored, so the worker may discard them.
     std::uint64_t endsRecorded = 0;
-    /// All that runs there has ended by then, unless its lease is renewed.
+    /// When all attempts on the worker have ended, unless its lease is renewed.
     Deadline leaseOver;
     Instant lastReport;
-    /// No new attempts until then.
+    /// No new attempts are placed on the worker until then.
     Deadline setAsideUntil;
-    /// Attempts that failed there since one was last done.
-    std::uint32_t failuresInARow = 0;
-    /// It left a call without an answer; nothing new starts there until it reports again.
+    /// Failed attempts on the worker since the last one that was done.
+    std::uint32_t consecutiveFailures = 0;
+    /// A call to the worker got no answer. No attempt starts on it until it reports again.
     bool isSuspect = false;
-    /// The VM is to be taken down: nothing new starts there, and what lasts moves away.
+    /// The VM is being drained: no attempt starts on it, and long-running tasks move away.
     bool isEvacuating = false;
-    /// The worker's clock at `clockReadAt`.
+    /// The worker's clock at `clockReadAt`, in milliseconds.
     std::int64_t clockMs = 0;
     Instant clockReadAt;
 };
--- a/modules/jobs/model/StepSpec.h
+++ b/modules/jobs/model/StepSpec.h
@@ -9,40 +9,40 @@
 
 namespace Greengage {
 
-/// One step of a job: a number of like tasks.
+/// One step of a job: a number of identical tasks.
 struct StepSpec {
     std::uint32_t taskCount = 1;
-    /// What each task occupies. A filling step's processor time is not counted against a worker.
+    /// The resources that each task asks for. The processor time of a best-effort step is not counted against a worker.
     Demand demand;
-    /// The submitter's rough guess of one task's run time; zero if none was given.
+    /// The submitter's estimate of the run time of one task; zero if there is none.
     Milliseconds estimate { 0 };
-    /// Indices of earlier steps whose tasks must all be done before this step begins.
+    /// Indices of the earlier steps that have to be done before this step starts.
     std::vector<std::uint32_t> after;
-    /// A label that a worker must carry; empty if any will do.
+    /// A label that a worker must have; empty if there is no such requirement.
     std::string requiredLabel;
-    /// The rack that holds the step's data; empty if there is none.
+    /// The rack that holds the data of the step; empty if there is none.
     std::string preferredRack;
-    /// What the tasks run; tasks of one image behave alike.
+    /// What the tasks run. Tasks of the same image have the same performance characteristics.
     std::string image;
-    /// The most tasks of this step that one worker may run; zero for no limit.
+    /// Maximum number of tasks of this step on one worker; zero for no limit.
     std::uint32_t perWorkerLimit = 0;
-    /// The response time that a lasting task must keep for its own users; zero if it serves none.
+    /// Target for the tail of the response times of a long-running task; zero if the task is not latency-sensitive.
     Milliseconds tailTarget { 0 };
-    /// How many tasks of a lasting step this system may have away from work at a time.
+    /// How many tasks of a long-running step this system may make unavailable at a time.
     std::uint32_t mayMiss = 0;
     bool checkpoints = false;
-    /// The tasks only work together, on attempts with the same number.
+    /// The tasks can only run together, on attempts with the same number.
     bool gang = false;
     bool sameRack = false;
-    /// Several copies of one task may run at a time; the first to finish counts.
+    /// Several copies of one task may run at the same time; the first to finish counts.
     bool speculative = false;
-    /// The tasks run until the job is cancelled.
+    /// The tasks are long-running: they run until the job is cancelled.
     bool lasting = false;
-    /// The tasks use only the processor time that others leave.
+    /// The tasks are best-effort: they use only processor time that other tasks leave.
     bool fills = false;
 
-    /// What each task takes of a worker's room.
-    Demand occupies() const
+    /// The part of a worker's capacity that each task occupies.
+    Demand occupiedPerTask() const
     {
         return { this->fills ? 0 : this->demand.cpuMillis, this->demand.memoryMegabytes, this->demand.accelerators };
     }
--- a/modules/jobs/systems/AdviceSystem.cpp
+++ b/modules/jobs/systems/AdviceSystem.cpp
@@ -24,17 +24,17 @@
         std::pair rank(!objective.canBeOnTime(nowUnixMs), objective.latestStartUnixMs());
         if (best && bestRank <= rank)
             continue;
-        if (auto question = this->questionFor(job, queue->second, now, nowUnixMs)) {
+        if (auto question = this->requestFor(job, queue->second, now, nowUnixMs)) {
             best = std::move(question);
             bestRank = rank;
         }
     }
     if (best)
-        this->findStep(best->step)->advice.isBeingAsked = true;
+        this->findStep(best->step)->advice.isRequestPending = true;
     return best;
 }
 
-std::optional<AdviceQuestion> AdviceSystem::questionFor(
+std::optional<AdviceQuestion> AdviceSystem::requestFor(
     JobRow& job, const QueuePolicy& queue, Instant now, std::int64_t nowUnixMs)
 {
     TaskName name { job.record.id };
@@ -42,12 +42,11 @@
         const auto& occurrence = job.occurrences[name.occurrence];
         for (name.step = 0; name.step < occurrence.steps.size(); ++name.step) {
             const StepRow& step = occurrence.steps[name.step];
-            bool isOpen = step.waitingCount() > 0 && !step.advice.isBeingAsked
-                && step.advice.nextQuestion.hasPassed(now)
-                && this->board.isReady(job, occurrence, name.step, nowUnixMs);
-            if (!isOpen)
+            bool needsRequest = step.waitingCount() > 0 && !step.advice.isRequestPending
+                && step.advice.nextRequest.hasPassed(now) && this->board.isReady(job, occurrence, name.step, nowUnixMs);
+            if (!needsRequest)
                 continue;
-            AdviceQuestion question { name, this->workersToAskAbout(job, queue, name, step, now) };
+            AdviceQuestion question { name, this->selectWorkers(job, queue, name, step, now) };
             if (question.workers.empty())
                 continue;
             question.takes = queue.advice->decisionTime
@@ -58,7 +57,7 @@
     return std::nullopt;
 }
 
-std::vector<WorkerId> AdviceSystem::workersToAskAbout(
+std::vector<WorkerId> AdviceSystem::selectWorkers(
     const JobRow& job, const QueuePolicy& queue, const TaskName& name, const StepRow& step, Instant now) const
 {
     const StepSpec& spec = job.record.spec.steps[name.step];
@@ -66,13 +65,13 @@
     for (const auto& [id, worker] : this->board.workers) {
         bool isKnown = step.advice.unfit.contains(id) || step.advice.ticketFor(id, worker.facts.bornUnixMs, now);
         if (isKnown || worker.facts.pool != queue.pool || !PlacementSystem::takesWork(worker, now)
-            || !PlacementSystem::couldTake(worker, spec))
+            || !PlacementSystem::canHost(worker, spec))
             continue;
         found.emplace_back(worker.occupied.cpuMillis - worker.facts.capacity.cpuMillis, id);
     }
     std::sort(found.begin(), found.end());
     std::vector<WorkerId> workers;
-    for (std::size_t index = 0; index < std::min(found.size(), workersPerQuestion); ++index)
+    for (std::size_t index = 0; index < std::min(found.size(), maxWorkersPerRequest); ++index)
         workers.push_back(found[index].second);
     return workers;
 }
@@ -91,7 +90,7 @@
     StepRow* step = this->findStep(question.step);
     if (!step)
         return;
-    step->advice.isBeingAsked = false;
+    step->advice.isRequestPending = false;
     Deadline validUntil = Deadline::after(now, std::max(Milliseconds(0), answer.validFor - ticketMargin));
     for (const auto& id : question.workers) {
         const WorkerRow* worker = this->board.findWorker(id);
@@ -108,8 +107,8 @@
     StepRow* step = this->findStep(question.step);
     if (!step)
         return;
-    step->advice.isBeingAsked = false;
-    step->advice.nextQuestion = Deadline::after(now, failurePause);
+    step->advice.isRequestPending = false;
+    step->advice.nextRequest = Deadline::after(now, retryDelay);
 }
 
 } // namespace Greengage
--- a/modules/jobs/systems/AdviceSystem.h
+++ b/modules/jobs/systems/AdviceSystem.h
@@ -15,32 +15,33 @@
 struct StepRow;
 struct WorkerRow;
 
-/// Decides for which step the advice service is asked next, and about which workers, and keeps what it answers. It
-/// answers a load in which jobs of queues that need advice arrive faster than one call takes: the job that has to start
-/// first is asked for first, and only about workers that could take its tasks now.
+/// Decides for which step and workers the advice service is asked next, and records its answers. Jobs that need advice
+/// can arrive faster than the service answers. Therefore the most urgent job comes first, and a question names only
+/// workers that could run its tasks now.
 class AdviceSystem {
 public:
-    /// The most workers that one question names. A call takes longer with each.
-    static constexpr std::size_t workersPerQuestion = 30;
-    /// A ticket is not used in the last part of its life, since a start is stored before it is sent.
+    /// Maximum number of workers in one question. Each worker makes the call longer.
+    static constexpr std::size_t maxWorkersPerRequest = 30;
+    /// A ticket is not used in this last part of its validity, since a start is stored before its order is sent.
     static constexpr Milliseconds ticketMargin { 300 };
-    /// How long a step whose question failed is left alone.
-    static constexpr Milliseconds failurePause { 200 };
+    /// Delay before the service is asked again for a step after a failed call.
+    static constexpr Milliseconds retryDelay { 200 };
 
     explicit AdviceSystem(JobBoard& board)
         : board(board)
     {
     }
 
-    /// The most urgent question, if there is any. Its step counts as being asked for until `take` or `fail`.
+    /// Returns the most urgent question, if there is one. A request for its step counts as pending until `take` or
+    /// `fail`.
     std::optional<AdviceQuestion> nextQuestion(Instant now, std::int64_t nowUnixMs);
 
     void take(const AdviceQuestion&, const AdviceAnswer&, Instant now);
     void fail(const AdviceQuestion&, Instant now);
 
 private:
-    std::optional<AdviceQuestion> questionFor(JobRow&, const QueuePolicy&, Instant now, std::int64_t nowUnixMs);
-    std::vector<WorkerId> workersToAskAbout(
+    std::optional<AdviceQuestion> requestFor(JobRow&, const QueuePolicy&, Instant now, std::int64_t nowUnixMs);
+    std::vector<WorkerId> selectWorkers(
         const JobRow&, const QueuePolicy&, const TaskName& step, const StepRow&, Instant now) const;
     StepRow* findStep(const TaskName&);
 
--- a/modules/jobs/systems/AttemptEvent.h
+++ b/modules/jobs/systems/AttemptEvent.h
@@ -15,11 +15,11 @@
     LeaseLapsed,
     GangBroken,
     GangIncomplete,
-    /// The worker does not list it, though it did or should.
+    /// The worker does not list the attempt, although it did before or should.
     Lost,
-    /// Found on a worker, started by an earlier placing daemon.
+    /// Found on a worker, and started by an earlier leader.
     Adopted,
-    /// Found on a worker, but not wanted there.
+    /// Found on a worker that should not run it.
     Unwanted,
 };
 
@@ -37,7 +37,7 @@
     } };
 };
 
-/// Something learnt about an attempt.
+/// A change in the state of an attempt, found in a worker's report.
 struct AttemptEvent {
     AttemptEventKind kind = AttemptEventKind::Lost;
     TaskName task;
--- a/modules/jobs/systems/PacingSystem.cpp
+++ b/modules/jobs/systems/PacingSystem.cpp
@@ -10,40 +10,40 @@
 {
     for (auto& [id, worker] : this->board.workers) {
         if (worker.fillingCount && worker.isReached)
-            PacingSystem::setPace(worker, PacingSystem::tension(worker), now);
+            PacingSystem::updateSpeeds(worker, PacingSystem::worstLoadPercent(worker), now);
     }
 }
 
-int PacingSystem::tension(const WorkerRow& worker)
+int PacingSystem::worstLoadPercent(const WorkerRow& worker)
 {
-    constexpr int wholeTarget = 100;
+    constexpr int fullTargetPercent = 100;
     std::int64_t worst = 0;
     for (const auto& [task, attempt] : worker.attempts) {
-        if (attempt.serves() && attempt.phase == AttemptPhase::Running)
-            worst = std::max(worst, attempt.load * wholeTarget / attempt.tailTarget.count());
+        if (attempt.isLatencySensitive() && attempt.phase == AttemptPhase::Running)
+            worst = std::max(worst, attempt.load * fullTargetPercent / attempt.tailTarget.count());
     }
     return static_cast<int>(worst);
 }
 
-void PacingSystem::setPace(WorkerRow& worker, int tension, Instant now)
+void PacingSystem::updateSpeeds(WorkerRow& worker, int worstLoadPercent, Instant now)
 {
-    constexpr int wholeTarget = 100;
+    constexpr int fullTargetPercent = 100;
     for (auto& [task, attempt] : worker.attempts) {
         if (!attempt.fills || attempt.phase != AttemptPhase::Running)
             continue;
         int wanted = attempt.wantedPace;
-        if (tension > wholeTarget)
+        if (worstLoadPercent > fullTargetPercent)
             wanted = 0;
-        else if (!attempt.paceSettled.hasPassed(now))
+        else if (!attempt.nextSpeedChange.hasPassed(now))
             continue;
-        else if (tension > tensePercent)
-            wanted = std::max(0, wanted - step);
-        else if (tension < calmPercent)
-            wanted = std::min(wholeSpeed, wanted + step);
+        else if (worstLoadPercent > throttleAbovePercent)
+            wanted = std::max(0, wanted - speedStepPercent);
+        else if (worstLoadPercent < recoverBelowPercent)
+            wanted = std::min(fullSpeedPercent, wanted + speedStepPercent);
         if (wanted == attempt.wantedPace)
             continue;
         attempt.wantedPace = wanted;
-        attempt.paceSettled = Deadline::after(now, settlesWithin);
+        attempt.nextSpeedChange = Deadline::after(now, settlingTime);
     }
 }
 
--- a/modules/jobs/systems/PacingSystem.h
+++ b/modules/jobs/systems/PacingSystem.h
@@ -7,32 +7,34 @@
 class JobBoard;
 struct WorkerRow;
 
-/// Decides at which share of their speed filling tasks work beside tasks that serve. It answers a load in which filling
-/// tasks slow the serving ones of the same worker down, by amounts that change within seconds: a serving task over its
-/// target stops the fillers beside it at once, and they come back in steps while it stays well below.
+/// Throttles best-effort tasks that share a worker with latency-sensitive tasks. Best-effort tasks slow
+/// latency-sensitive ones down by amounts that change within seconds. Therefore they stop at once when a
+/// latency-sensitive task on their worker exceeds its target, and speed up again in steps while its response times stay
+/// well below the target.
 class PacingSystem {
 public:
-    /// A serving task within this part of its target, in percent, has its fillers slowed by one step.
-    static constexpr int tensePercent = 85;
-    /// Below this part of the target, the fillers gain one step.
-    static constexpr int calmPercent = 60;
-    static constexpr int step = 25;
-    /// Between two changes: the workers' figures cover half a second, and a report may be a second old.
-    static constexpr Milliseconds settlesWithin { 1500 };
-    static constexpr int wholeSpeed = 100;
+    /// Above this percentage of a latency-sensitive task's target, the best-effort tasks on its worker slow down by one
+    /// step.
+    static constexpr int throttleAbovePercent = 85;
+    /// Below this percentage of the target, they speed up by one step.
+    static constexpr int recoverBelowPercent = 60;
+    static constexpr int speedStepPercent = 25;
+    /// Time between two changes. The workers' figures cover half a second, and a report may be a second old.
+    static constexpr Milliseconds settlingTime { 1500 };
+    static constexpr int fullSpeedPercent = 100;
 
     explicit PacingSystem(JobBoard& board)
         : board(board)
     {
     }
 
-    /// Sets the pace that each filling attempt should have.
+    /// Sets the wanted speed of each best-effort attempt.
     void advance(Instant now);
 
 private:
-    /// The worst tail of the worker's serving tasks, in percent of its target.
-    static int tension(const WorkerRow&);
-    static void setPace(WorkerRow&, int tension, Instant now);
+    /// Returns the worst tail response time of the worker's latency-sensitive tasks, in percent of its target.
+    static int worstLoadPercent(const WorkerRow&);
+    static void updateSpeeds(WorkerRow&, int worstLoadPercent, Instant now);
 
     JobBoard& board;
 };
--- a/modules/jobs/systems/PlacementSystem.cpp
+++ b/modules/jobs/systems/PlacementSystem.cpp
@@ -19,7 +19,7 @@
     return std::find(labels.begin(), labels.end(), label) != labels.end();
 }
 
-std::uint32_t siblingsOn(const WorkerRow& worker, const TaskName& task)
+std::uint32_t countSiblings(const WorkerRow& worker, const TaskName& task)
 {
     std::uint32_t count = 0;
     auto attempt = worker.attempts.lower_bound(TaskName { task.job, task.occurrence, task.step, 0 });
@@ -39,17 +39,17 @@
         && !worker.isEvacuating && worker.setAsideUntil.hasPassed(now);
 }
 
-bool PlacementSystem::couldTake(const WorkerRow& worker, const StepSpec& step)
+bool PlacementSystem::canHost(const WorkerRow& worker, const StepSpec& step)
 {
-    return step.occupies().fitsIn(worker.facts.capacity - worker.occupied)
+    return step.occupiedPerTask().fitsIn(worker.facts.capacity - worker.occupied)
         && (step.requiredLabel.empty() || hasLabel(worker, step.requiredLabel));
 }
 
 namespace {
 
-/// In which order jobs get room; smaller goes first.
+/// The first criterion for the order in which jobs are placed; smaller values come first.
 enum class Urgency {
-    Lasting,
+    LongRunning,
     OnTime,
     Late,
 };
@@ -61,15 +61,15 @@
     Urgency urgency;
     int priority;
     std::int64_t order;
-    bool isOverShare = false;
+    bool isTeamOverShare = false;
 };
 
 std::vector<StartOrder> PlacementSystem::place(Instant now, std::int64_t nowUnixMs)
 {
     this->orders.clear();
-    this->roundAt = now;
-    this->roundUnixMs = nowUnixMs;
-    auto candidates = this->collect();
+    this->tickAt = now;
+    this->tickUnixMs = nowUnixMs;
+    auto candidates = this->collectCandidates();
     if (candidates.empty())
         return {};
     std::unordered_map<PoolId, Pool> pools;
@@ -77,10 +77,10 @@
         if (takesWork(worker, now))
             pools[worker.facts.pool].workers.push_back(&worker);
     }
-    this->markShares(candidates);
+    this->markTeamsOverShare(candidates);
     std::sort(candidates.begin(), candidates.end(), [](const Candidate& left, const Candidate& right) {
-        return std::tuple(left.urgency, left.priority, left.isOverShare, left.order, left.job->record.id)
-            < std::tuple(right.urgency, right.priority, right.isOverShare, right.order, right.job->record.id);
+        return std::tuple(left.urgency, left.priority, left.isTeamOverShare, left.order, left.job->record.id)
+            < std::tuple(right.urgency, right.priority, right.isTeamOverShare, right.order, right.job->record.id);
     });
     for (const auto& candidate : candidates) {
         const auto& queue = this->board.policies->queues.at(candidate.job->record.queue);
@@ -91,7 +91,7 @@
     return std::exchange(this->orders, {});
 }
 
-std::vector<PlacementSystem::Candidate> PlacementSystem::collect() const
+std::vector<PlacementSystem::Candidate> PlacementSystem::collectCandidates() const
 {
     std::vector<Candidate> candidates;
     for (auto& [id, job] : this->board.jobs) {
@@ -109,9 +109,9 @@
         Candidate candidate { &job, Urgency::OnTime, queue->second.priority, 0 };
         JobObjective objective(job, queue->second);
         if (job.record.spec.steps.front().lasting) {
-            candidate.urgency = Urgency::Lasting;
+            candidate.urgency = Urgency::LongRunning;
             candidate.order = job.record.receivedUnixMs;
-        } else if (objective.canBeOnTime(this->roundUnixMs))
+        } else if (objective.canBeOnTime(this->tickUnixMs))
             candidate.order = objective.latestStartUnixMs();
         else {
             candidate.urgency = Urgency::Late;
@@ -122,7 +122,7 @@
     return candidates;
 }
 
-void PlacementSystem::markShares(std::vector<Candidate>& candidates) const
+void PlacementSystem::markTeamsOverShare(std::vector<Candidate>& candidates) const
 {
     std::set<TeamId> teams;
     for (const auto& candidate : candidates)
@@ -141,7 +141,7 @@
         const TeamId& team = candidate.job->record.team;
         auto use = this->board.usage.find(team);
         auto used = static_cast<double>(use == this->board.usage.end() ? 0 : use->second.cpuMillis);
-        candidate.isOverShare = used * weights > static_cast<double>(capacity) * this->weightOf(team);
+        candidate.isTeamOverShare = used * weights > static_cast<double>(capacity) * this->weightOf(team);
     }
 }
 
@@ -156,7 +156,7 @@
     for (std::uint32_t occurrence = 0; occurrence < job.occurrences.size(); ++occurrence) {
         auto& row = job.occurrences[occurrence];
         for (std::uint32_t step = 0; step < row.steps.size(); ++step) {
-            if (!row.steps[step].waitingCount() || !this->board.isReady(job, row, step, this->roundUnixMs))
+            if (!row.steps[step].waitingCount() || !this->board.isReady(job, row, step, this->tickUnixMs))
                 continue;
             if (job.record.spec.steps[step].gang)
                 this->placeGang(job, occurrence, step, pool.workers);
@@ -171,7 +171,7 @@
     const StepSpec& spec = job.record.spec.steps[step];
     StepRow& row = job.occurrences[occurrence].steps[step];
     if (!row.readyAt)
-        row.readyAt = this->roundAt;
+        row.readyAt = this->tickAt;
     auto& tasks = row.tasks;
     for (std::uint32_t index = 0; index < tasks.size(); ++index) {
         if (tasks[index].phase != TaskPhase::Waiting)
@@ -179,10 +179,10 @@
         if (!this->isWithinMaximum(job, spec.demand))
             return;
         TaskName name { job.record.id, occurrence, step, index };
-        WorkerRow* worker = this->chooseInPool(job, name, pool);
+        WorkerRow* worker = this->chooseFromPool(job, name, pool);
         if (!worker)
             return;
-        this->begin(job, name, *worker, std::max(this->board.lowestRun, tasks[index].run + 1));
+        this->planAttempt(job, name, *worker, std::max(this->board.lowestRun, tasks[index].run + 1));
         this->board.markUnrecorded(job);
     }
 }
@@ -192,7 +192,7 @@
     const StepSpec& spec = job.record.spec.steps[step];
     auto& row = job.occurrences[occurrence].steps[step];
     if (row.waitingCount() != row.tasks.size()) {
-        this->stopMembers(row, { job.record.id, occurrence, step });
+        this->stopGangMembers(row, { job.record.id, occurrence, step });
         return;
     }
     if (spec.sameRack) {
@@ -200,14 +200,15 @@
         for (auto* worker : workers)
             racks[worker->facts.rack].push_back(worker);
         bool isPlaced = std::any_of(racks.begin(), racks.end(),
-            [&](const auto& rack) { return this->placeMembers(job, occurrence, step, rack.second); });
+            [&](const auto& rack) { return this->placeGangMembers(job, occurrence, step, rack.second); });
         if (isPlaced)
             return;
     }
-    this->placeMembers(job, occurrence, step, workers);
+    this->placeGangMembers(job, occurrence, step, workers);
 }
 
-bool PlacementSystem::placeMembers(JobRow& job, std::uint32_t occurrence, std::uint32_t step, const Workers& workers)
+bool PlacementSystem::placeGangMembers(
+    JobRow& job, std::uint32_t occurrence, std::uint32_t step, const Workers& workers)
 {
     const StepSpec& spec = job.record.spec.steps[step];
     auto& row = job.occurrences[occurrence].steps[step];
@@ -221,9 +222,9 @@
     std::size_t firstOrder = this->orders.size();
     for (std::uint32_t index = 0; index < row.tasks.size(); ++index) {
         TaskName name { job.record.id, occurrence, step, index };
-        WorkerRow* worker = this->isWithinMaximum(job, spec.demand) ? this->choose(job, name, workers) : nullptr;
+        WorkerRow* worker = this->isWithinMaximum(job, spec.demand) ? this->chooseWorker(job, name, workers) : nullptr;
         if (!worker) {
-            // All members start together or none does.
+            // Either all members start or none does.
             for (std::size_t order = firstOrder; order < this->orders.size(); ++order)
                 this->board.releaseAttempt(
                     this->board.workers.at(this->orders[order].worker), this->orders[order].task);
@@ -231,35 +232,35 @@
             return false;
         }
         row.tasks[index].checkpoint = checkpoint;
-        this->begin(job, name, *worker, run);
+        this->planAttempt(job, name, *worker, run);
     }
     this->board.markUnrecorded(job);
     return true;
 }
 
-void PlacementSystem::stopMembers(StepRow& row, const TaskName& step)
+void PlacementSystem::stopGangMembers(StepRow& row, const TaskName& step)
 {
     this->board.forEachAttempt(row, step, [this](WorkerRow& worker, Attempt& attempt) {
-        if (attempt.mayBeSent())
+        if (attempt.mayHaveBeenSent())
             attempt.phase = AttemptPhase::Stopping;
         else if (attempt.phase == AttemptPhase::Planned)
             this->board.releaseAttempt(worker, TaskName(attempt.task));
     });
 }
 
-WorkerRow* PlacementSystem::chooseInPool(const JobRow& job, const TaskName& task, Pool& pool) const
+WorkerRow* PlacementSystem::chooseFromPool(const JobRow& job, const TaskName& task, Pool& pool) const
 {
     const StepSpec& step = job.record.spec.steps[task.step];
-    Demand needed = step.occupies();
-    bool isTooMuch = std::any_of(
-        pool.tooMuch.begin(), pool.tooMuch.end(), [&needed](const Demand& tooMuch) { return tooMuch.fitsIn(needed); });
-    if (isTooMuch)
+    Demand needed = step.occupiedPerTask();
+    bool isUnplaceable = std::any_of(pool.unplaceableDemands.begin(), pool.unplaceableDemands.end(),
+        [&needed](const Demand& unplaceable) { return unplaceable.fitsIn(needed); });
+    if (isUnplaceable)
         return nullptr;
-    WorkerRow* worker = this->choose(job, task, pool.workers);
-    bool anyWorkerWillDo
+    WorkerRow* worker = this->chooseWorker(job, task, pool.workers);
+    bool isUnconstrained
         = step.requiredLabel.empty() && step.preferredRack.empty() && !step.perWorkerLimit && !this->needsTicket(job);
-    if (!worker && anyWorkerWillDo)
-        pool.tooMuch.push_back(needed);
+    if (!worker && isUnconstrained)
+        pool.unplaceableDemands.push_back(needed);
     return worker;
 }
 
@@ -269,7 +270,7 @@
     return queue != this->board.policies->queues.end() && queue->second.advice.has_value();
 }
 
-WorkerRow* PlacementSystem::choose(const JobRow& job, const TaskName& task, const Workers& workers) const
+WorkerRow* PlacementSystem::chooseWorker(const JobRow& job, const TaskName& task, const Workers& workers) const
 {
     const StepSpec& step = job.record.spec.steps[task.step];
     const StepRow& row = job.occurrences[task.occurrence].steps[task.step];
@@ -277,43 +278,44 @@
     bool needsTicket = this->needsTicket(job);
     WorkerRow* best = nullptr;
     std::tuple<bool, bool, bool, std::uint32_t, std::int64_t> bestRank;
-    constexpr std::size_t isFarRank = 2;
+    constexpr std::size_t isFarPosition = 2;
     for (WorkerRow* worker : workers) {
-        if (!couldTake(*worker, step))
+        if (!canHost(*worker, step))
             continue;
-        if (needsTicket && !row.advice.ticketFor(worker->facts.id, worker->facts.bornUnixMs, this->roundAt))
+        if (needsTicket && !row.advice.ticketFor(worker->facts.id, worker->facts.bornUnixMs, this->tickAt))
             continue;
-        std::uint32_t siblings = siblingsOn(*worker, task);
+        std::uint32_t siblings = countSiblings(*worker, task);
         if (step.perWorkerLimit && siblings >= step.perWorkerLimit)
             continue;
-        bool disturbs = step.fills ? worker->servingCount > 0 : step.tailTarget.count() && worker->fillingCount > 0;
+        bool interferes
+            = step.fills ? worker->latencySensitiveCount > 0 : step.tailTarget.count() && worker->fillingCount > 0;
         bool isFar = !step.preferredRack.empty() && !hasLabel(*worker, step.preferredRack);
         std::int64_t freeCpu = worker->facts.capacity.cpuMillis - worker->occupied.cpuMillis;
-        std::tuple rank(worker->facts.id == failedOn, disturbs, isFar, step.lasting ? siblings : 0U, freeCpu);
+        std::tuple rank(worker->facts.id == failedOn, interferes, isFar, step.lasting ? siblings : 0U, freeCpu);
         if (!best || rank < bestRank) {
             best = worker;
             bestRank = rank;
         }
     }
-    if (best && std::get<isFarRank>(bestRank) && this->waitsForItsRack(job, task, workers))
+    if (best && std::get<isFarPosition>(bestRank) && this->shouldWaitForRack(job, task, workers))
         return nullptr;
     return best;
 }
 
-bool PlacementSystem::waitsForItsRack(const JobRow& job, const TaskName& task, const Workers& workers) const
+bool PlacementSystem::shouldWaitForRack(const JobRow& job, const TaskName& task, const Workers& workers) const
 {
     const StepSpec& step = job.record.spec.steps[task.step];
     const StepRow& row = job.occurrences[task.occurrence].steps[task.step];
     auto queue = this->board.policies->queues.find(job.record.queue);
-    if (queue == this->board.policies->queues.end() || !row.readyAt || this->roundAt - *row.readyAt >= longestRackWait)
+    if (queue == this->board.policies->queues.end() || !row.readyAt || this->tickAt - *row.readyAt >= maxRackWait)
         return false;
-    bool isRackThere = std::any_of(workers.begin(), workers.end(), [&step](const WorkerRow* worker) {
-        return hasLabel(*worker, step.preferredRack) && step.occupies().fitsIn(worker->facts.capacity);
+    bool isRackPresent = std::any_of(workers.begin(), workers.end(), [&step](const WorkerRow* worker) {
+        return hasLabel(*worker, step.preferredRack) && step.occupiedPerTask().fitsIn(worker->facts.capacity);
     });
     JobObjective objective(job, queue->second);
-    auto longer = static_cast<std::int64_t>((this->farSlowdown - 1) * static_cast<double>(step.estimate.count()));
-    return isRackThere && objective.canBeOnTime(this->roundUnixMs)
-        && !objective.canBeOnTime(this->roundUnixMs + longer);
+    auto extraMs = static_cast<std::int64_t>((this->farSlowdown - 1) * static_cast<double>(step.estimate.count()));
+    return isRackPresent && objective.canBeOnTime(this->tickUnixMs)
+        && !objective.canBeOnTime(this->tickUnixMs + extraMs);
 }
 
 bool PlacementSystem::isWithinMaximum(const JobRow& job, const Demand& demand) const
@@ -330,12 +332,12 @@
         && isWithin(use.accelerators, maximum.accelerators);
 }
 
-void PlacementSystem::begin(JobRow& job, const TaskName& task, WorkerRow& worker, std::uint32_t run)
+void PlacementSystem::planAttempt(JobRow& job, const TaskName& task, WorkerRow& worker, std::uint32_t run)
 {
-    Attempt& attempt = this->board.beginAttempt(worker, job, task, run, AttemptPhase::Planned, this->roundAt);
+    Attempt& attempt = this->board.beginAttempt(worker, job, task, run, AttemptPhase::Planned, this->tickAt);
     const StepRow& step = job.occurrences[task.occurrence].steps[task.step];
     attempt.checkpoint = step.tasks[task.index].checkpoint;
-    if (const Ticket* ticket = step.advice.ticketFor(worker.facts.id, worker.facts.bornUnixMs, this->roundAt))
+    if (const Ticket* ticket = step.advice.ticketFor(worker.facts.id, worker.facts.bornUnixMs, this->tickAt))
         attempt.ticket = ticket->text;
     this->orders.push_back({ worker.facts.id, task, run });
 }
--- a/modules/jobs/systems/PoolLoad.cpp
+++ b/modules/jobs/systems/PoolLoad.cpp
@@ -15,8 +15,8 @@
             std::uint32_t count = occurrence.steps[step].waitingCount();
             const StepSpec& spec = job.record.spec.steps[step];
             if (spec.perWorkerLimit && (count || occurrence.steps[step].activeCount))
-                load.hostsNeeded
-                    = std::max(load.hostsNeeded, (spec.taskCount + spec.perWorkerLimit - 1) / spec.perWorkerLimit);
+                load.minimumWorkers
+                    = std::max(load.minimumWorkers, (spec.taskCount + spec.perWorkerLimit - 1) / spec.perWorkerLimit);
             if (!count || !board.isReady(job, occurrence, step, nowUnixMs))
                 continue;
             const Demand& demand = spec.demand;
@@ -40,8 +40,8 @@
         load.capacity += worker.facts.capacity;
         load.occupied += worker.occupied;
         for (const auto& [task, attempt] : worker.attempts) {
-            if (attempt.lasts)
-                load.lastingCpuMillis += attempt.occupies.cpuMillis;
+            if (attempt.isLongRunning)
+                load.lastingCpuMillis += attempt.occupied.cpuMillis;
         }
     }
     for (const auto& [id, job] : board.jobs) {
--- a/modules/jobs/systems/PoolLoad.h
+++ b/modules/jobs/systems/PoolLoad.h
@@ -10,18 +10,18 @@
 
 class JobBoard;
 
-/// What a pool has, what is taken of it, and what waits for it.
+/// The capacity of a pool, the part of it that is occupied, and the demand of waiting tasks.
 struct PoolLoad {
     std::size_t workers = 0;
     Demand capacity;
     Demand occupied;
-    /// The part of the occupied processor time that lasting tasks hold.
+    /// The processor time that long-running tasks occupy.
     std::int64_t lastingCpuMillis = 0;
-    /// Of tasks whose turn has come.
+    /// The total demand of waiting tasks that are ready to start.
     Demand waiting;
     std::size_t waitingTasks = 0;
-    /// The most workers that any one step needs because only so many of its tasks may share one.
-    std::uint32_t hostsNeeded = 0;
+    /// The largest number of workers that a step needs because of its limit of tasks per worker.
+    std::uint32_t minimumWorkers = 0;
 
     static std::map<PoolId, PoolLoad> measure(const JobBoard&, std::int64_t nowUnixMs);
 };
--- a/modules/jobs/systems/PoolSizing.cpp
+++ b/modules/jobs/systems/PoolSizing.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-/// The weight that is left of something averaged over the window, so long ago.
-double remainingWeight(Microseconds age)
+/// Returns the weight, after `age`, of a contribution to the exponential average over the arrival window.
+double decayFactor(Microseconds age)
 {
     constexpr auto window = std::chrono::duration_cast<Microseconds>(PoolSizing::arrivalWindow);
     return std::exp(-static_cast<double>(age.count()) / static_cast<double>(window.count()));
@@ -34,15 +34,14 @@
                 * static_cast<double>(step.estimate.count());
     }
     Arrivals& entry = this->arrivals[pool];
-    entry.cpuMillis
-        = entry.cpuMillis * remainingWeight(now - entry.at) + work / static_cast<double>(arrivalWindow.count());
+    entry.cpuMillis = entry.cpuMillis * decayFactor(now - entry.at) + work / static_cast<double>(arrivalWindow.count());
     entry.at = now;
 }
 
 double PoolSizing::arrivingCpuMillis(const PoolId& pool, Instant now) const
 {
     auto found = this->arrivals.find(pool);
-    return found == this->arrivals.end() ? 0 : found->second.cpuMillis * remainingWeight(now - found->second.at);
+    return found == this->arrivals.end() ? 0 : found->second.cpuMillis * decayFactor(now - found->second.at);
 }
 
 std::vector<MoveOrder> PoolSizing::advance(const std::map<VmId, MachineFacts>& machines,
@@ -59,13 +58,13 @@
     }
     auto needs = this->measureNeeds(machines, incoming, busy, now, nowUnixMs);
     for (const auto& [pool, need] : needs) {
-        auto [entry, isNew] = this->neededAllAt.try_emplace(pool, now);
-        if (need.wants >= need.has)
+        auto [entry, isNew] = this->lastAllNeededAt.try_emplace(pool, now);
+        if (need.required >= need.current)
             entry->second = now;
     }
     std::vector<MoveOrder> orders;
-    this->fill(needs, spare, sparePool->first, orders);
-    this->park(needs, sparePool->first, now, orders);
+    this->growPools(needs, spare, sparePool->first, orders);
+    this->releaseIdleMachines(needs, sparePool->first, now, orders);
     for (const auto& order : orders) {
         if (auto* worker = this->board.findWorker(machines.at(order.machine).worker))
             worker->isEvacuating = true;
@@ -87,9 +86,9 @@
         if (busy.contains(id) || (worker && (worker->isEvacuating || worker->facts.draining)))
             continue;
         Need& need = needs[facts.pool];
-        need.has += 1;
+        need.current += 1;
         poolCpuMillis[facts.pool] += facts.capacity.cpuMillis;
-        if (this->isEmpty(facts))
+        if (this->isIdle(facts))
             need.idle.push_back(id);
     }
     auto loads = PoolLoad::measure(this->board, nowUnixMs);
@@ -97,15 +96,15 @@
         if (policy.spare)
             continue;
         Need& need = needs[id];
-        std::int64_t machineCpuMillis = need.has ? std::max<std::int64_t>(1, poolCpuMillis[id] / need.has) : 0;
-        need.wants = this->wantedMachines(id, loads[id], machineCpuMillis, now);
-        if (auto coming = incoming.find(id); coming != incoming.end())
-            need.has += coming->second;
+        std::int64_t machineCpuMillis = need.current ? std::max<std::int64_t>(1, poolCpuMillis[id] / need.current) : 0;
+        need.required = this->requiredMachines(id, loads[id], machineCpuMillis, now);
+        if (auto found = incoming.find(id); found != incoming.end())
+            need.current += found->second;
     }
     return needs;
 }
 
-std::int64_t PoolSizing::wantedMachines(
+std::int64_t PoolSizing::requiredMachines(
     const PoolId& pool, const PoolLoad& load, std::int64_t machineCpuMillis, Instant now) const
 {
     if (!machineCpuMillis)
@@ -114,53 +113,53 @@
     auto arriving = static_cast<std::int64_t>(this->arrivingCpuMillis(pool, now)) * arrivalMarginPercent / 100;
     std::int64_t expected = load.lastingCpuMillis + arriving;
     std::int64_t forWork = machinesFor(std::max(present, expected), machineCpuMillis) + reserveMachines;
-    return std::max<std::int64_t>(forWork, load.hostsNeeded + 1);
+    return std::max<std::int64_t>(forWork, load.minimumWorkers + 1);
 }
 
-bool PoolSizing::isEmpty(const MachineFacts& machine) const
+bool PoolSizing::isIdle(const MachineFacts& machine) const
 {
     const WorkerRow* worker = this->board.findWorker(machine.worker);
     return worker && worker->isReached && !worker->isSuspect && worker->attempts.empty() && worker->strays.empty();
 }
 
-void PoolSizing::fill(
+void PoolSizing::growPools(
     std::map<PoolId, Need>& needs, std::vector<VmId>& spare, const PoolId& sparePool, std::vector<MoveOrder>& orders)
 {
     while (true) {
         auto neediest = std::max_element(needs.begin(), needs.end(), [](const auto& left, const auto& right) {
-            return left.second.wants - left.second.has < right.second.wants - right.second.has;
+            return left.second.required - left.second.current < right.second.required - right.second.current;
         });
-        if (neediest == needs.end() || neediest->second.wants <= neediest->second.has)
+        if (neediest == needs.end() || neediest->second.required <= neediest->second.current)
             return;
         if (!spare.empty()) {
             orders.push_back({ spare.back(), sparePool, neediest->first });
             spare.pop_back();
-            neediest->second.has += 1;
+            neediest->second.current += 1;
             continue;
         }
-        auto giver = std::max_element(needs.begin(), needs.end(), [](const auto& left, const auto& right) {
-            auto surplus = [](const Need& need) { return need.idle.empty() ? -1 : need.has - need.wants; };
+        auto donor = std::max_element(needs.begin(), needs.end(), [](const auto& left, const auto& right) {
+            auto surplus = [](const Need& need) { return need.idle.empty() ? -1 : need.current - need.required; };
             return surplus(left.second) < surplus(right.second);
         });
-        if (giver->second.idle.empty() || giver->second.has <= giver->second.wants)
+        if (donor->second.idle.empty() || donor->second.current <= donor->second.required)
             return;
-        orders.push_back({ giver->second.idle.back(), giver->first, neediest->first });
-        giver->second.idle.pop_back();
-        giver->second.has -= 1;
-        neediest->second.has += 1;
+        orders.push_back({ donor->second.idle.back(), donor->first, neediest->first });
+        donor->second.idle.pop_back();
+        donor->second.current -= 1;
+        neediest->second.current += 1;
     }
 }
 
-void PoolSizing::park(
+void PoolSizing::releaseIdleMachines(
     std::map<PoolId, Need>& needs, const PoolId& sparePool, Instant now, std::vector<MoveOrder>& orders)
 {
     for (auto& [pool, need] : needs) {
-        if (now - this->neededAllAt.at(pool) < keepIdleFor)
+        if (now - this->lastAllNeededAt.at(pool) < idleRetention)
             continue;
-        while (need.has > need.wants && !need.idle.empty()) {
+        while (need.current > need.required && !need.idle.empty()) {
             orders.push_back({ need.idle.back(), pool, sparePool });
             need.idle.pop_back();
-            need.has -= 1;
+            need.current -= 1;
         }
     }
 }
--- a/modules/jobs/systems/PoolSizing.h
+++ b/modules/jobs/systems/PoolSizing.h
@@ -16,25 +16,25 @@
 struct JobSpec;
 struct PoolLoad;
 
-/// A decision to put a VM into another pool.
+/// A decision to move a VM to another pool.
 struct MoveOrder {
     VmId machine;
     PoolId from;
     PoolId to;
 };
 
-/// Decides which VMs move between pools, and into the spare pool, where they are off. It answers a load in which each
-/// queue in turn asks for several times what its pool holds and is all but idle in between: VMs go to the pool whose
-/// work waits or is about to, and empty VMs that nothing needs are switched off.
+/// Decides which VMs move between pools, and into the spare pool, where they are switched off. A queue can ask for
+/// several times the capacity of its pool and be almost idle in between. Therefore VMs move to the pool with waiting or
+/// arriving work, and idle VMs that no pool needs are switched off.
 class PoolSizing {
 public:
-    /// Arrivals are averaged over about this span.
+    /// Time constant of the exponential average of arriving work.
     static constexpr Milliseconds arrivalWindow { 1000 };
-    /// A pool keeps VMs that it does not need for so long, since its need may come back and a move takes seconds.
-    static constexpr Milliseconds keepIdleFor { 1500 };
-    /// Every pool keeps room for this many VMs beyond what is occupied or waits.
+    /// How long a pool keeps VMs that it does not need. Its need may return, and a move takes seconds.
+    static constexpr Milliseconds idleRetention { 1500 };
+    /// The number of VMs that each pool keeps in addition to those for its occupied and waiting demand.
     static constexpr std::int64_t reserveMachines = 2;
-    /// The arriving work's need is taken this much higher, in hundredths, since it is still rising when it is measured.
+    /// The demand of arriving work is scaled to this percentage, since it is still rising when it is measured.
     static constexpr std::int64_t arrivalMarginPercent = 115;
 
     explicit PoolSizing(JobBoard& board)
@@ -42,11 +42,11 @@
     {
     }
 
-    /// A job has come to a pool.
+    /// Records that a job has arrived for a pool.
     void noteArrival(const PoolId&, const JobSpec&, Instant now);
 
-    /// Chooses VMs to move. Their workers get no new tasks from then on, and are empty. `incoming` counts the VMs that
-    /// are on their way to a pool; VMs in `busy` are left alone.
+    /// Chooses the VMs to move. They are idle, and no new tasks are placed on them from then on. `incoming` counts the
+    /// VMs that are on their way to each pool; VMs in `busy` are not moved.
     std::vector<MoveOrder> advance(const std::map<VmId, MachineFacts>& machines,
         const std::map<PoolId, std::int64_t>& incoming, const std::set<VmId>& busy, Instant now,
         std::int64_t nowUnixMs);
@@ -58,11 +58,11 @@
         Instant at;
     };
 
-    /// What a pool has and needs, in VMs.
+    /// The numbers of VMs that a pool has and requires.
     struct Need {
-        std::int64_t has = 0;
-        std::int64_t wants = 0;
-        /// Empty VMs that can leave.
+        std::int64_t current = 0;
+        std::int64_t required = 0;
+        /// VMs without attempts, which can leave the pool.
         std::vector<VmId> idle;
     };
 
@@ -70,15 +70,15 @@
     std::map<PoolId, Need> measureNeeds(const std::map<VmId, MachineFacts>&,
         const std::map<PoolId, std::int64_t>& incoming, const std::set<VmId>& busy, Instant now,
         std::int64_t nowUnixMs) const;
-    std::int64_t wantedMachines(const PoolId&, const PoolLoad&, std::int64_t machineCpuMillis, Instant now) const;
-    bool isEmpty(const MachineFacts&) const;
-    void fill(std::map<PoolId, Need>&, std::vector<VmId>& spare, const PoolId& sparePool, std::vector<MoveOrder>&);
-    void park(std::map<PoolId, Need>&, const PoolId& sparePool, Instant now, std::vector<MoveOrder>&);
+    std::int64_t requiredMachines(const PoolId&, const PoolLoad&, std::int64_t machineCpuMillis, Instant now) const;
+    bool isIdle(const MachineFacts&) const;
+    void growPools(std::map<PoolId, Need>&, std::vector<VmId>& spare, const PoolId& sparePool, std::vector<MoveOrder>&);
+    void releaseIdleMachines(std::map<PoolId, Need>&, const PoolId& sparePool, Instant now, std::vector<MoveOrder>&);
 
     JobBoard& board;
     std::unordered_map<PoolId, Arrivals> arrivals;
-    /// When a pool last needed all that it has.
-    std::unordered_map<PoolId, Instant> neededAllAt;
+    /// When a pool last required all of its VMs.
+    std::unordered_map<PoolId, Instant> lastAllNeededAt;
 };
 
 } // namespace Greengage
--- a/modules/jobs/systems/ReportSystem.cpp
+++ b/modules/jobs/systems/ReportSystem.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-AttemptEventKind eventOf(EndKind kind)
+AttemptEventKind eventKindOf(EndKind kind)
 {
     switch (kind) {
     case EndKind::Done:
@@ -29,13 +29,13 @@
     return AttemptEventKind::Lost;
 }
 
-constexpr int wholeSpeed = 100;
+constexpr int fullSpeedPercent = 100;
 
-void takeFigures(Attempt& attempt, const RunningAttempt& running)
+void applyFigures(Attempt& attempt, const RunningAttempt& running)
 {
     attempt.checkpoint = running.checkpoint;
     attempt.pacePercent = running.pacePercent;
-    attempt.isAtWork = running.pacePercent == wholeSpeed;
+    attempt.isAtFullSpeed = running.pacePercent == fullSpeedPercent;
     attempt.load = running.load;
 }
 
@@ -53,32 +53,32 @@
         if (end.number <= worker.endsSeen)
             continue;
         worker.endsSeen = end.number;
-        this->takeEnd(worker, end, now);
+        this->handleEnd(worker, end, now);
     }
     for (const auto& running : report.running)
-        this->takeRunning(worker, running, now);
+        this->handleRunning(worker, running, now);
     if (report.endsComplete)
-        this->dropUnlisted(worker, report, sentAt);
+        this->releaseUnlisted(worker, report, sentAt);
     return std::exchange(this->events, {});
 }
 
-void ReportSystem::takeEnd(WorkerRow& worker, const EndedAttempt& end, Instant now)
+void ReportSystem::handleEnd(WorkerRow& worker, const EndedAttempt& end, Instant now)
 {
-    this->note(eventOf(end.kind), end.task, end.run, worker);
-    if (auto stray = worker.strays.find({ end.task, end.run }); stray != worker.strays.end()) {
-        worker.occupied -= stray->second.occupies;
-        this->board.usage[stray->second.team] -= stray->second.charged;
-        worker.strays.erase(stray);
+    this->recordEvent(eventKindOf(end.kind), end.task, end.run, worker);
+    if (auto orphan = worker.strays.find({ end.task, end.run }); orphan != worker.strays.end()) {
+        worker.occupied -= orphan->second.occupied;
+        this->board.usage[orphan->second.team] -= orphan->second.charged;
+        worker.strays.erase(orphan);
     }
     auto job = this->board.jobs.find(end.task.job);
     bool isOpen = job != this->board.jobs.end() && !job->second.hasEnded();
     if (end.kind == EndKind::Done) {
-        worker.failuresInARow = 0;
+        worker.consecutiveFailures = 0;
         if (isOpen)
-            this->takeDone(worker, end);
+            this->handleDone(worker, end);
     } else if (end.kind == EndKind::Failed) {
-        worker.failuresInARow += 1;
-        if (worker.failuresInARow >= failuresBeforeSetAside)
+        worker.consecutiveFailures += 1;
+        if (worker.consecutiveFailures >= failuresBeforeSetAside)
             worker.setAsideUntil = Deadline::after(now, setAsideFor);
         if (isOpen)
             this->board.countFailure(job->second, end.task, end.run, worker.facts.id);
@@ -91,13 +91,13 @@
     this->board.releaseAttempt(worker, end.task);
 }
 
-void ReportSystem::takeDone(WorkerRow& worker, const EndedAttempt& end)
+void ReportSystem::handleDone(WorkerRow& worker, const EndedAttempt& end)
 {
     TaskRow* row = this->board.findTask(end.task);
     if (!row || row->phase == TaskPhase::Done)
         return;
     JobRow& job = this->board.jobs.at(end.task.job);
-    // Another attempt of the task, elsewhere, is not needed any more.
+    // An attempt of the task on another worker, or with another number, is no longer needed.
     if (row->phase == TaskPhase::Active && (row->worker != worker.facts.id || row->run != end.run)) {
         if (auto* other = this->board.findWorker(row->worker); other && other->attempts.contains(end.task))
             other->attempts.at(end.task).phase = AttemptPhase::Stopping;
@@ -107,13 +107,13 @@
         this->board.finishTask(job, end.task);
         return;
     }
-    // The members of a gang end together, and one end stands for all.
+    // The members of a gang end together, so the end of one finishes all of them.
     auto count = static_cast<std::uint32_t>(job.occurrences[end.task.occurrence].steps[end.task.step].tasks.size());
     for (std::uint32_t index = 0; index < count; ++index)
         this->board.finishTask(job, { end.task.job, end.task.occurrence, end.task.step, index });
 }
 
-void ReportSystem::takeRunning(WorkerRow& worker, const RunningAttempt& running, Instant now)
+void ReportSystem::handleRunning(WorkerRow& worker, const RunningAttempt& running, Instant now)
 {
     auto found = worker.attempts.find(running.task);
     if (found != worker.attempts.end() && found->second.run == running.run) {
@@ -122,15 +122,15 @@
             attempt.phase = AttemptPhase::Running;
         attempt.isAnswered = true;
         attempt.confirmedAt = now;
-        takeFigures(attempt, running);
+        applyFigures(attempt, running);
         return;
     }
-    if (auto stray = worker.strays.find({ running.task, running.run }); stray != worker.strays.end()) {
-        stray->second.confirmedAt = now;
+    if (auto orphan = worker.strays.find({ running.task, running.run }); orphan != worker.strays.end()) {
+        orphan->second.confirmedAt = now;
         return;
     }
     if (!this->adopt(worker, running, now))
-        this->addStray(worker, running, now);
+        this->addOrphan(worker, running, now);
 }
 
 bool ReportSystem::adopt(WorkerRow& worker, const RunningAttempt& running, Instant now)
@@ -143,61 +143,62 @@
         return false;
     Attempt& attempt = this->board.beginAttempt(worker, job, running.task, running.run, AttemptPhase::Running, now);
     attempt.isAnswered = true;
-    takeFigures(attempt, running);
+    applyFigures(attempt, running);
     attempt.wantedPace = running.pacePercent;
-    this->note(AttemptEventKind::Adopted, running.task, running.run, worker);
+    this->recordEvent(AttemptEventKind::Adopted, running.task, running.run, worker);
     return true;
 }
 
-void ReportSystem::addStray(WorkerRow& worker, const RunningAttempt& running, Instant now)
+void ReportSystem::addOrphan(WorkerRow& worker, const RunningAttempt& running, Instant now)
 {
-    Attempt stray;
-    stray.task = running.task;
-    stray.run = running.run;
-    stray.phase = AttemptPhase::Stopping;
-    stray.isAnswered = true;
-    stray.confirmedAt = now;
+    Attempt orphan;
+    orphan.task = running.task;
+    orphan.run = running.run;
+    orphan.phase = AttemptPhase::Stopping;
+    orphan.isAnswered = true;
+    orphan.confirmedAt = now;
     if (const StepSpec* step = this->board.findStep(running.task)) {
-        stray.team = this->board.jobs.at(running.task.job).record.team;
-        stray.charged = step->demand;
-        stray.occupies = step->occupies();
-        worker.occupied += stray.occupies;
-        this->board.usage[stray.team] += stray.charged;
+        orphan.team = this->board.jobs.at(running.task.job).record.team;
+        orphan.charged = step->demand;
+        orphan.occupied = step->occupiedPerTask();
+        worker.occupied += orphan.occupied;
+        this->board.usage[orphan.team] += orphan.charged;
     }
-    worker.strays.emplace(std::pair(running.task, running.run), stray);
-    this->note(AttemptEventKind::Unwanted, running.task, running.run, worker);
+    worker.strays.emplace(std::pair(running.task, running.run), orphan);
+    this->recordEvent(AttemptEventKind::Unwanted, running.task, running.run, worker);
 }
 
-void ReportSystem::dropUnlisted(WorkerRow& worker, const WorkerReport& report, Instant sentAt)
+void ReportSystem::releaseUnlisted(WorkerRow& worker, const WorkerReport& report, Instant sentAt)
 {
     std::set<std::pair<TaskName, std::uint32_t>> listed;
     for (const auto& running : report.running)
         listed.emplace(running.task, running.run);
-    // A report says nothing of an attempt that was confirmed after the question, or whose order may still arrive.
-    auto isGone = [&](const Attempt& attempt) {
+    // A report says nothing about an attempt that was confirmed after the question was sent, or whose start order may
+    // still arrive.
+    auto isLost = [&](const Attempt& attempt) {
         bool mayStillStart = !attempt.isAnswered && !attempt.orderExpires.hasPassed(sentAt);
-        return attempt.mayBeSent() && !mayStillStart && attempt.confirmedAt < sentAt
+        return attempt.mayHaveBeenSent() && !mayStillStart && attempt.confirmedAt < sentAt
             && !listed.contains({ attempt.task, attempt.run });
     };
-    std::vector<TaskName> gone;
+    std::vector<TaskName> lost;
     for (const auto& [task, attempt] : worker.attempts) {
-        if (isGone(attempt))
-            gone.push_back(task);
+        if (isLost(attempt))
+            lost.push_back(task);
     }
-    for (const auto& task : gone) {
-        this->note(AttemptEventKind::Lost, task, worker.attempts.at(task).run, worker);
+    for (const auto& task : lost) {
+        this->recordEvent(AttemptEventKind::Lost, task, worker.attempts.at(task).run, worker);
         this->board.releaseAttempt(worker, task);
     }
     std::erase_if(worker.strays, [&](const auto& entry) {
-        if (!isGone(entry.second))
+        if (!isLost(entry.second))
             return false;
-        worker.occupied -= entry.second.occupies;
+        worker.occupied -= entry.second.occupied;
         this->board.usage[entry.second.team] -= entry.second.charged;
         return true;
     });
 }
 
-void ReportSystem::note(AttemptEventKind kind, const TaskName& task, std::uint32_t run, const WorkerRow& worker)
+void ReportSystem::recordEvent(AttemptEventKind kind, const TaskName& task, std::uint32_t run, const WorkerRow& worker)
 {
     this->events.push_back({ kind, task, run, worker.facts.id });
 }
--- a/modules/jobs/systems/ReportSystem.h
+++ b/modules/jobs/systems/ReportSystem.h
@@ -14,12 +14,12 @@
 struct RunningAttempt;
 struct EndedAttempt;
 
-/// Brings the board in line with what workers report.
+/// Updates the job tables from the reports of workers.
 class ReportSystem {
 public:
-    /// Failed attempts in a row after which a worker gets no new ones for a while.
+    /// Consecutive failed attempts after which a worker is set aside: it gets no new attempts for a while.
     static constexpr std::uint32_t failuresBeforeSetAside = 2;
-    /// How long such a worker is left alone before it is tried again.
+    /// How long a worker is set aside.
     static constexpr Milliseconds setAsideFor { 4000 };
 
     explicit ReportSystem(JobBoard& board)
@@ -27,17 +27,17 @@
     {
     }
 
-    /// Takes in a report that answers a question sent at `sentAt`. Returns what is new in it.
+    /// Applies a report that answers a question sent at `sentAt`. Returns the changes that it contains.
     std::vector<AttemptEvent> apply(WorkerRow&, const WorkerReport&, Instant sentAt, Instant now);
 
 private:
-    void takeEnd(WorkerRow&, const EndedAttempt&, Instant now);
-    void takeDone(WorkerRow&, const EndedAttempt&);
-    void takeRunning(WorkerRow&, const RunningAttempt&, Instant now);
+    void handleEnd(WorkerRow&, const EndedAttempt&, Instant now);
+    void handleDone(WorkerRow&, const EndedAttempt&);
+    void handleRunning(WorkerRow&, const RunningAttempt&, Instant now);
     bool adopt(WorkerRow&, const RunningAttempt&, Instant now);
-    void addStray(WorkerRow&, const RunningAttempt&, Instant now);
-    void dropUnlisted(WorkerRow&, const WorkerReport&, Instant sentAt);
-    void note(AttemptEventKind, const TaskName&, std::uint32_t run, const WorkerRow&);
+    void addOrphan(WorkerRow&, const RunningAttempt&, Instant now);
+    void releaseUnlisted(WorkerRow&, const WorkerReport&, Instant sentAt);
+    void recordEvent(AttemptEventKind, const TaskName&, std::uint32_t run, const WorkerRow&);
 
     JobBoard& board;
     std::vector<AttemptEvent> events;
--- a/modules/jobs/systems/StartOrder.h
+++ b/modules/jobs/systems/StartOrder.h
@@ -7,7 +7,7 @@
 
 namespace Greengage {
 
-/// A decision to start a task on a worker. The attempt is on the board already.
+/// A decision to start a task on a worker. The attempt is already in the job tables.
 struct StartOrder {
     WorkerId worker;
     TaskName task;
--- a/modules/jobs/systems/UpkeepSystem.cpp
+++ b/modules/jobs/systems/UpkeepSystem.cpp
@@ -12,19 +12,19 @@
     const std::map<VmId, Deadline>& mayBeDown, Instant now)
 {
     struct Candidate {
-        bool isBeingEmptied;
+        bool isDraining;
         std::size_t attempts;
         VmId machine;
         WorkerRow* worker;
     };
     std::size_t down = 0;
     std::unordered_map<PoolId, std::size_t> poolSize;
-    std::unordered_map<PoolId, std::size_t> poolOut;
+    std::unordered_map<PoolId, std::size_t> unavailableInPool;
     std::vector<Candidate> candidates;
     for (const auto& [id, facts] : machines) {
-        bool isOut = facts.state != MachineState::Up || mayBeDown.contains(id);
+        bool isUnavailable = facts.state != MachineState::Up || mayBeDown.contains(id);
         poolSize[facts.pool] += 1;
-        poolOut[facts.pool] += isOut ? 1 : 0;
+        unavailableInPool[facts.pool] += isUnavailable ? 1 : 0;
     }
     for (const auto& id : wave.machines) {
         auto facts = machines.find(id);
@@ -37,29 +37,29 @@
         if (wave.done.contains(id) || facts->second.state != MachineState::Up)
             continue;
         WorkerRow* worker = this->board.findWorker(facts->second.worker);
-        bool isBeingEmptied = worker && worker->isEvacuating;
-        candidates.push_back({ isBeingEmptied, worker ? worker->attempts.size() : 0, id, worker });
+        bool isDraining = worker && worker->isEvacuating;
+        candidates.push_back({ isDraining, worker ? worker->attempts.size() : 0, id, worker });
     }
     std::sort(candidates.begin(), candidates.end(), [](const Candidate& left, const Candidate& right) {
-        return std::tuple(!left.isBeingEmptied, left.attempts, left.machine)
-            < std::tuple(!right.isBeingEmptied, right.attempts, right.machine);
+        return std::tuple(!left.isDraining, left.attempts, left.machine)
+            < std::tuple(!right.isDraining, right.attempts, right.machine);
     });
     std::vector<VmId> ready;
-    std::size_t out = down;
-    bool isLate = wave.dueBy.remaining(now) < patience * 2;
+    std::size_t unavailable = down;
+    bool isLate = wave.dueBy.remaining(now) < drainTimeout * 2;
     for (auto& candidate : candidates) {
-        if (out >= wave.maximum)
+        if (unavailable >= wave.maximum)
             break;
         const PoolId& pool = machines.at(candidate.machine).pool;
-        std::size_t allowed = std::max<std::size_t>(1, poolSize[pool] / poolPart);
-        if (!candidate.isBeingEmptied && !isLate && poolOut[pool] >= allowed)
+        std::size_t allowed = std::max<std::size_t>(1, poolSize[pool] / poolDivisor);
+        if (!candidate.isDraining && !isLate && unavailableInPool[pool] >= allowed)
             continue;
-        poolOut[pool] += 1;
-        out += 1;
+        unavailableInPool[pool] += 1;
+        unavailable += 1;
         if (candidate.worker) {
             candidate.worker->isEvacuating = true;
-            Instant since = this->emptiedSince.try_emplace(candidate.worker->facts.id, now).first->second;
-            this->empty(*candidate.worker, since, now);
+            Instant since = this->drainStartedAt.try_emplace(candidate.worker->facts.id, now).first->second;
+            this->drain(*candidate.worker, since, now);
             if (!candidate.worker->attempts.empty())
                 continue;
         }
@@ -70,32 +70,32 @@
 
 void UpkeepSystem::release()
 {
-    for (const auto& [id, since] : this->emptiedSince) {
+    for (const auto& [id, since] : this->drainStartedAt) {
         if (auto* worker = this->board.findWorker(id))
             worker->isEvacuating = false;
     }
-    this->emptiedSince.clear();
+    this->drainStartedAt.clear();
 }
 
-void UpkeepSystem::empty(WorkerRow& worker, Instant since, Instant now)
+void UpkeepSystem::drain(WorkerRow& worker, Instant since, Instant now)
 {
-    bool isOverdue = now - since >= patience;
+    bool isOverdue = now - since >= drainTimeout;
     for (auto& [task, attempt] : worker.attempts) {
         if (attempt.phase != AttemptPhase::Running)
             continue;
-        if (attempt.lasts ? this->mayStop(attempt) : isOverdue)
+        if (attempt.isLongRunning ? this->canStop(attempt) : isOverdue)
             attempt.phase = AttemptPhase::Stopping;
     }
 }
 
-bool UpkeepSystem::mayStop(const Attempt& attempt) const
+bool UpkeepSystem::canStop(const Attempt& attempt) const
 {
     const StepSpec* step = this->board.findStep(attempt.task);
     if (!step || !step->mayMiss)
         return true;
     const JobRow& job = this->board.jobs.at(attempt.task.job);
     const auto& tasks = job.occurrences[attempt.task.occurrence].steps[attempt.task.step].tasks;
-    std::uint32_t away = 0;
+    std::uint32_t unavailable = 0;
     for (std::uint32_t index = 0; index < tasks.size(); ++index) {
         if (index == attempt.task.index)
             continue;
@@ -103,11 +103,11 @@
         const WorkerRow* worker
             = tasks[index].phase == TaskPhase::Active ? this->board.findWorker(tasks[index].worker) : nullptr;
         auto other = worker ? worker->attempts.find(name) : std::map<TaskName, Attempt>::const_iterator();
-        bool isAtWork = worker && other != worker->attempts.end() && other->second.phase == AttemptPhase::Running
-            && other->second.isAtWork && !worker->isSuspect;
-        away += isAtWork ? 0 : 1;
+        bool isAvailable = worker && other != worker->attempts.end() && other->second.phase == AttemptPhase::Running
+            && other->second.isAtFullSpeed && !worker->isSuspect;
+        unavailable += isAvailable ? 0 : 1;
     }
-    return away < step->mayMiss;
+    return unavailable < step->mayMiss;
 }
 
 } // namespace Greengage
--- a/modules/jobs/systems/UpkeepSystem.h
+++ b/modules/jobs/systems/UpkeepSystem.h
@@ -15,35 +15,36 @@
 struct UpkeepWave;
 struct WorkerRow;
 
-/// Decides which VMs of a wave are emptied next and which are empty enough to be taken down. Lasting tasks leave an
-/// emptied VM one by one, as far as their step may miss them; others are given time to end.
+/// Decides which VMs of a maintenance wave are drained next, and which can be taken down. Long-running tasks leave a
+/// draining VM gradually, within the number that their step may miss. Other tasks get time to end.
 class UpkeepSystem {
 public:
-    /// Tasks that have not ended on an emptied VM after so long are stopped.
-    static constexpr Milliseconds patience { 4000 };
-    /// The largest part of a pool's workers that is out at a time while the wave is not late, as one in so many.
-    static constexpr std::size_t poolPart = 3;
+    /// Tasks that have not ended this long after the start of the drain are stopped.
+    static constexpr Milliseconds drainTimeout { 4000 };
+    /// While the wave is not late, at most one VM in this many of a pool is unavailable at a time, but always at least
+    /// one.
+    static constexpr std::size_t poolDivisor = 3;
 
     explicit UpkeepSystem(JobBoard& board)
         : board(board)
     {
     }
 
-    /// Chooses VMs to empty, orders the stops that this takes, and returns the VMs that can be taken down now.
-    /// `machines` is the fleet as it was listed last; `mayBeDown` holds VMs that were ordered down since.
+    /// Chooses VMs to drain, marks attempts on them to be stopped, and returns the VMs that can be taken down now.
+    /// `machines` is the fleet as listed last; `mayBeDown` holds the VMs that were ordered down since.
     std::vector<VmId> advance(const UpkeepWave&, const std::map<VmId, MachineFacts>& machines,
         const std::map<VmId, Deadline>& mayBeDown, Instant now);
 
-    /// Lets work return to the VMs that are being emptied.
+    /// Ends all drains, so that attempts can be placed on these VMs again.
     void release();
 
 private:
-    void empty(WorkerRow&, Instant since, Instant now);
-    bool mayStop(const Attempt&) const;
+    void drain(WorkerRow&, Instant since, Instant now);
+    bool canStop(const Attempt&) const;
 
     JobBoard& board;
-    /// Since when a VM's worker has been emptied.
-    std::unordered_map<WorkerId, Instant> emptiedSince;
+    /// When the drain of each worker began.
+    std::unordered_map<WorkerId, Instant> drainStartedAt;
 };
 
 } // namespace Greengage
--- a/modules/jobs/tests/AdviceTests.cpp
+++ b/modules/jobs/tests/AdviceTests.cpp
@@ -1,4 +1,4 @@
-#include "BoardFixture.h"
+#include "JobTablesFixture.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -6,7 +6,7 @@
 
 namespace {
 
-struct AdviceFixture : BoardFixture {
+struct AdviceFixture : JobTablesFixture {
     AdviceFixture()
     {
         this->addQueue("advised", "north", 0);
@@ -26,7 +26,7 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(Advising, AdviceFixture)
+BOOST_FIXTURE_TEST_SUITE(Advice, AdviceFixture)
 
 BOOST_AUTO_TEST_CASE(aTaskOfAnAdvisedQueueStartsOnlyWithAValidTicket)
 {
@@ -39,7 +39,7 @@
     BOOST_TEST(asked->workers.size() == 2U);
     BOOST_TEST((asked->takes == Milliseconds(24)));
     this->answer(*asked, { { WorkerId("w2"), "t" } });
-    // A ticket of an earlier life, or one that is about to end, lets nothing start.
+    // A ticket for another incarnation of the worker is not used.
     this->board.workers.at(WorkerId("w2")).facts.bornUnixMs = 7;
     BOOST_TEST(this->place().empty());
     this->board.workers.at(WorkerId("w2")).facts.bornUnixMs = 0;
@@ -49,7 +49,7 @@
     BOOST_TEST(this->board.workers.at(WorkerId("w2")).attempts.at(orders.front().task).ticket == "t");
 }
 
-BOOST_AUTO_TEST_CASE(anExpiredOrRefusedTicketIsAskedForAgain)
+BOOST_AUTO_TEST_CASE(theServiceIsAskedAgainAfterATicketExpiresOrIsRefused)
 {
     this->addWorker("w1", "north", 1000);
     this->addJob("j", { step(1, 1000) }, "advised");
@@ -67,7 +67,7 @@
     BOOST_TEST(this->question().has_value());
 }
 
-BOOST_AUTO_TEST_CASE(unfitWorkersAreNotAskedAboutAgain)
+BOOST_AUTO_TEST_CASE(theServiceIsNotAskedAgainAboutUnfitWorkers)
 {
     this->addWorker("w1");
     this->addJob("j", { step(1, 1000) }, "advised");
@@ -79,12 +79,12 @@
     BOOST_TEST((asked->workers == std::vector<WorkerId> { WorkerId("w2") }));
     this->system.fail(*asked, this->now);
     BOOST_TEST(!this->question().has_value());
-    this->advance(AdviceSystem::failurePause);
+    this->advance(AdviceSystem::retryDelay);
     BOOST_TEST(this->question().has_value());
 }
 
-/// The load: jobs come faster than the service answers.
-BOOST_AUTO_TEST_CASE(theJobThatHasToStartFirstIsAskedForFirst)
+/// Jobs arrive faster than the service answers.
+BOOST_AUTO_TEST_CASE(theServiceIsAskedForTheMostUrgentJobFirst)
 {
     this->addWorker("w1");
     this->addJob("late", { step(1, 1000, Milliseconds(100)) }, "advised");
--- a/modules/jobs/tests/JobTablesFixture.h
+++ b/modules/jobs/tests/JobTablesFixture.h
@@ -8,11 +8,11 @@
 
 namespace Greengage {
 
-/// A board with pools, queues and teams, and short ways to fill it.
-struct BoardFixture {
-    static constexpr std::int64_t morningUnixMs = 1'700'000'000'000;
+/// Job tables with pools, queues and teams, and helpers to fill them.
+struct JobTablesFixture {
+    static constexpr std::int64_t startUnixMs = 1'700'000'000'000;
 
-    BoardFixture()
+    JobTablesFixture()
     {
         for (const char* name : { "north", "south" })
             this->policies->pools[PoolId(name)] = { PoolId(name), false, true };
@@ -79,7 +79,7 @@
 
     std::vector<StartOrder> place() { return PlacementSystem(this->board).place(this->now, this->unixMs); }
 
-    /// Places what can be placed, and has each worker accept it.
+    /// Places all tasks that can be placed, and has each worker accept its order.
     std::vector<StartOrder> placeAndRun()
     {
         auto orders = this->place();
@@ -88,14 +88,14 @@
             attempt.phase = AttemptPhase::Running;
             this->board.noteStarted(this->board.jobs.at(order.task.job));
             attempt.isAnswered = true;
-            attempt.isAtWork = true;
+            attempt.isAtFullSpeed = true;
             attempt.confirmedAt = this->now;
         }
         return orders;
     }
 
-    /// A report of all that the board believes to run on the worker.
-    WorkerReport faithfulReport(const WorkerRow& worker) const
+    /// Returns a report that lists every attempt that the tables have on the worker.
+    WorkerReport fullReport(const WorkerRow& worker) const
     {
         WorkerReport report;
         for (const auto& [task, attempt] : worker.attempts)
@@ -115,7 +115,7 @@
     std::vector<AttemptEvent> end(const TaskName& task, EndKind kind, const std::string& checkpoint = {})
     {
         WorkerRow& worker = this->board.workers.at(this->board.findTask(task)->worker);
-        auto report = this->faithfulReport(worker);
+        auto report = this->fullReport(worker);
         std::uint32_t run = worker.attempts.at(task).run;
         std::erase_if(report.running, [&](const RunningAttempt& running) { return running.task == task; });
         report.ended.push_back({ worker.endsSeen + 1, task, run, kind, checkpoint });
@@ -131,7 +131,7 @@
     std::shared_ptr<JobPolicies> policies = std::make_shared<JobPolicies>();
     JobBoard board;
     Instant now { Seconds(1000) };
-    std::int64_t unixMs = morningUnixMs;
+    std::int64_t unixMs = startUnixMs;
 };
 
 inline TaskName task(const std::string& job, std::uint32_t step, std::uint32_t index)
--- a/modules/jobs/tests/JobTablesTests.cpp
+++ b/modules/jobs/tests/JobTablesTests.cpp
@@ -1,10 +1,10 @@
-#include "BoardFixture.h"
+#include "JobTablesFixture.h"
 
 #include <boost/test/unit_test.hpp>
 
 using namespace Greengage;
 
-BOOST_FIXTURE_TEST_SUITE(Board, BoardFixture)
+BOOST_FIXTURE_TEST_SUITE(JobTablesTests, JobTablesFixture)
 
 BOOST_AUTO_TEST_CASE(aStepWaitsForTheStepsBeforeIt)
 {
@@ -59,7 +59,7 @@
     this->addJob("j", { step(1, 1000) });
     this->placeAndRun();
     this->end(task("j", 0, 0), EndKind::Failed);
-    // A new holder has not taken note of the end, and the worker lists it again.
+    // A new leader has not applied the end yet, and the worker reports it again.
     worker.endsSeen = 0;
     WorkerReport again;
     again.ended.push_back({ 1, task("j", 0, 0), 1, EndKind::Failed, {} });
@@ -67,7 +67,7 @@
     BOOST_TEST(this->board.findTask(task("j", 0, 0))->failedRuns.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(aCancelledJobStopsWhatRunsAndForgetsWhatWasNeverOrdered)
+BOOST_AUTO_TEST_CASE(aCancelledJobStopsSentAttemptsAndReleasesPlannedOnes)
 {
     WorkerRow& worker = this->addWorker("w1");
     JobRow& job = this->addJob("j", { step(2, 1000) });
@@ -82,7 +82,7 @@
     BOOST_TEST(this->board.usage[TeamId("bakers")].cpuMillis == 2000);
 }
 
-BOOST_AUTO_TEST_CASE(whatStillRunsOfAForgottenJobKeepsItsRoomUntilItHasEnded)
+BOOST_AUTO_TEST_CASE(anOrphanedAttemptOfAForgottenJobOccupiesCapacityUntilItHasEnded)
 {
     WorkerRow& worker = this->addWorker("w1");
     JobRow& job = this->addJob("j", { step(1, 3000) });
@@ -99,8 +99,9 @@
     BOOST_TEST(this->board.usage[TeamId("bakers")].cpuMillis == 0);
 }
 
-/// The board used to note the id from the row that it had just erased.
-BOOST_AUTO_TEST_CASE(aForgottenJobDoesNotComeBack)
+/// `forgetJob` takes the id by value, since callers pass the id in the row that it erases. By reference, it would read
+/// the id of an erased row.
+BOOST_AUTO_TEST_CASE(aForgottenJobIsNotAddedAgain)
 {
     const std::string id = "40078c1fbedccf70";
     JobRow& job = this->addJob(id, { step(1, 1000) });
@@ -112,7 +113,7 @@
     BOOST_TEST(this->board.unrecorded.empty());
 }
 
-BOOST_AUTO_TEST_CASE(progressComesBackAsItWasStored)
+BOOST_AUTO_TEST_CASE(progressIsDecodedAsItWasEncoded)
 {
     this->addWorker("w1");
     JobRow& job = this->addJob("j", { step(3, 1000) });
--- a/modules/jobs/tests/PlacementTests.cpp
+++ b/modules/jobs/tests/PlacementTests.cpp
@@ -1,13 +1,13 @@
-#include "BoardFixture.h"
+#include "JobTablesFixture.h"
 
 #include <boost/test/unit_test.hpp>
 #include <set>
 
 using namespace Greengage;
 
-BOOST_FIXTURE_TEST_SUITE(Placing, BoardFixture)
+BOOST_FIXTURE_TEST_SUITE(Placement, JobTablesFixture)
 
-BOOST_AUTO_TEST_CASE(nothingIsPlacedBeyondAWorkersRoom)
+BOOST_AUTO_TEST_CASE(nothingIsPlacedBeyondAWorkersCapacity)
 {
     WorkerRow& worker = this->addWorker("w1", "north", 2500);
     this->addJob("j", { step(5, 1000) });
@@ -15,7 +15,7 @@
     BOOST_TEST(worker.occupied.cpuMillis == 2000);
 }
 
-BOOST_AUTO_TEST_CASE(whatIsBeingStoppedStillTakesRoom)
+BOOST_AUTO_TEST_CASE(aStoppingAttemptStillOccupiesCapacity)
 {
     WorkerRow& worker = this->addWorker("w1", "north", 1000);
     JobRow& job = this->addJob("j", { step(1, 1000) });
@@ -41,9 +41,9 @@
 {
     this->addWorker("w1");
     this->addWorker("w2");
-    StepSpec apart = step(4, 100);
-    apart.perWorkerLimit = 1;
-    this->addJob("j", { apart });
+    StepSpec limited = step(4, 100);
+    limited.perWorkerLimit = 1;
+    this->addJob("j", { limited });
     auto orders = this->place();
     BOOST_TEST(orders.size() == 2U);
     std::set<WorkerId> used;
@@ -55,24 +55,24 @@
 BOOST_AUTO_TEST_CASE(aTaskNeedsItsLabel)
 {
     this->addWorker("plain");
-    StepSpec special = step(1, 100);
-    special.requiredLabel = "gpu-kind";
-    this->addJob("j", { special });
+    StepSpec labelled = step(1, 100);
+    labelled.requiredLabel = "gpu-kind";
+    this->addJob("j", { labelled });
     BOOST_TEST(this->place().empty());
-    this->addWorker("special").facts.labels = { "gpu-kind", "rack-2" };
+    this->addWorker("labelled").facts.labels = { "gpu-kind", "rack-2" };
     auto orders = this->place();
     BOOST_REQUIRE(orders.size() == 1U);
-    BOOST_TEST(orders.front().worker.string() == "special");
+    BOOST_TEST(orders.front().worker.string() == "labelled");
 }
 
-BOOST_AUTO_TEST_CASE(nothingIsPlacedOnWorkersThatLeaveOrAreInDoubt)
+BOOST_AUTO_TEST_CASE(nothingIsPlacedOnWorkersThatLeaveOrAreSuspect)
 {
     this->addWorker("draining").facts.draining = true;
     this->addWorker("suspect").isSuspect = true;
     this->addWorker("unlisted").isListed = false;
     this->addWorker("unreached").isReached = false;
     this->addWorker("unrecorded").isRecorded = false;
-    this->addWorker("evacuating").isEvacuating = true;
+    this->addWorker("being-drained").isEvacuating = true;
     this->addWorker("other", "south");
     this->addJob("j", { step(1, 100) });
     BOOST_TEST(this->place().empty());
@@ -91,8 +91,8 @@
     BOOST_TEST((orders[1].task.job == JobId("d-tiny")));
 }
 
-/// The load: one team sends far more than the others while the fleet is full.
-BOOST_AUTO_TEST_CASE(aTeamOverItsShareComesAfterTheOthers)
+/// One team submits far more than the others while the fleet is full.
+BOOST_AUTO_TEST_CASE(aTeamOverItsShareIsPlacedAfterTheOthers)
 {
     this->addWorker("w1", "north", 8000);
     this->policies->teams[TeamId("hot")] = { TeamId("hot"), 1, {} };
@@ -108,7 +108,7 @@
         BOOST_TEST((order.task.job == JobId("b-calm")));
 }
 
-BOOST_AUTO_TEST_CASE(aLargerWeightIsALargerShare)
+BOOST_AUTO_TEST_CASE(aLargerWeightGivesALargerShare)
 {
     this->addWorker("w1", "north", 8000);
     this->policies->teams[TeamId("large")] = { TeamId("large"), 4, {} };
@@ -122,29 +122,29 @@
         BOOST_TEST((order.task.job == JobId("a-large")));
 }
 
-/// The load: more tasks want one rack than it holds.
-BOOST_AUTO_TEST_CASE(aTaskWaitsForItsRackWhileItWouldBeLateElsewhere)
+/// More tasks prefer one rack than it has capacity for.
+BOOST_AUTO_TEST_CASE(aTaskWaitsForItsRackIfItWouldBeLateElsewhere)
 {
     this->addWorker("near", "north", 1000).facts.labels = { "a", "rack-7" };
     this->addWorker("far", "north", 8000);
-    StepSpec bound = step(2, 1000, Milliseconds(1000));
-    bound.preferredRack = "rack-7";
-    this->addJob("j", { bound });
-    // Twice its second of work and 600 ms more: elsewhere, 3 s would be too long.
+    StepSpec local = step(2, 1000, Milliseconds(1000));
+    local.preferredRack = "rack-7";
+    this->addJob("j", { local });
+    // The job is on time within twice its second of work plus 600 ms. On the far worker, the work would take 3 s.
     PlacementSystem placement(this->board, 3);
     auto orders = placement.place(this->now, this->unixMs);
     BOOST_REQUIRE(orders.size() == 1U);
     BOOST_TEST((orders.front().worker == WorkerId("near")));
-    this->advance(PlacementSystem::longestRackWait);
+    this->advance(PlacementSystem::maxRackWait);
     BOOST_TEST(placement.place(this->now, this->unixMs).size() == 1U);
-    // A short task is on time elsewhere, too.
+    // A short task is on time on the far worker, too.
     StepSpec quick = step(1, 1000, Milliseconds(100));
     quick.preferredRack = "rack-7";
     this->addJob("k", { quick });
     BOOST_TEST(placement.place(this->now, this->unixMs).size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(aGangStartsWholeOrNotAtAll)
+BOOST_AUTO_TEST_CASE(allMembersOfAGangStartOrNone)
 {
     WorkerRow& worker = this->addWorker("w1", "north", 2000);
     StepSpec gang = step(3, 1000);
@@ -159,7 +159,7 @@
         BOOST_TEST(order.run == orders.front().run);
 }
 
-BOOST_AUTO_TEST_CASE(aGangThatFindsNoRoomHasNotBegunAndIsNotStored)
+BOOST_AUTO_TEST_CASE(aGangThatDoesNotFitHasNotStartedAndIsNotStored)
 {
     this->addWorker("w1", "north", 2000);
     StepSpec gang = step(3, 1000);
@@ -171,8 +171,8 @@
     BOOST_TEST(this->board.unrecorded.empty());
 }
 
-/// A member that could not be started leaves the others waiting for it until they give up.
-BOOST_AUTO_TEST_CASE(whatIsLeftOfAGangIsStopped)
+/// If one member could not be started, the others would wait for it until they time out.
+BOOST_AUTO_TEST_CASE(theRemainingMembersOfAGangAreStopped)
 {
     WorkerRow& worker = this->addWorker("w1");
     StepSpec gang = step(3, 1000);
@@ -192,7 +192,7 @@
     BOOST_TEST((job.state == JobState::Running));
 }
 
-BOOST_AUTO_TEST_CASE(aGangKeepsToOneRackIfOneHasTheRoom)
+BOOST_AUTO_TEST_CASE(aGangIsPlacedOnOneRackIfOneHasTheCapacity)
 {
     auto addTo = [this](const char* id, const char* rack) { this->addWorker(id, "north", 2000).facts.rack = rack; };
     addTo("w1", "rack-1");
@@ -212,7 +212,7 @@
     BOOST_TEST(this->place().size() == 4U);
 }
 
-BOOST_AUTO_TEST_CASE(oneEndOfAGangFinishesAllOfIt)
+BOOST_AUTO_TEST_CASE(theEndOfOneMemberFinishesTheWholeGang)
 {
     this->addWorker("w1");
     StepSpec gang = step(3, 1000);
@@ -223,8 +223,8 @@
     BOOST_TEST((job.state == JobState::Completed));
 }
 
-/// The load: a queue asks for several times what its pool holds, so that some jobs can no longer be on time.
-BOOST_AUTO_TEST_CASE(jobsThatCanStillBeOnTimeGoBeforeThoseThatCannot)
+/// A queue asks for several times the capacity of its pool, so that some jobs can no longer be on time.
+BOOST_AUTO_TEST_CASE(jobsThatCanStillBeOnTimeArePlacedBeforeLateJobs)
 {
     this->addWorker("w1", "north", 1000);
     this->addJob("early", { step(1, 1000) });
@@ -235,22 +235,22 @@
     BOOST_TEST(orders.front().task.job.string() == "fresh");
 }
 
-BOOST_AUTO_TEST_CASE(aLastingTaskComesBackHoweverFullThePoolIs)
+BOOST_AUTO_TEST_CASE(aLongRunningTaskIsPlacedAgainInAFullPool)
 {
     this->addWorker("w1", "north", 2000);
-    StepSpec lasting = step(1, 1000);
-    lasting.lasting = true;
-    this->addJob("lasting", { lasting });
+    StepSpec longRunning = step(1, 1000);
+    longRunning.lasting = true;
+    this->addJob("long-running", { longRunning });
     this->placeAndRun();
     this->addJob("quick", { step(5, 1000) });
     this->placeAndRun();
-    this->end(task("lasting", 0, 0), EndKind::Failed);
+    this->end(task("long-running", 0, 0), EndKind::Failed);
     auto orders = this->place();
     BOOST_REQUIRE(orders.size() == 1U);
-    BOOST_TEST(orders.front().task.job.string() == "lasting");
+    BOOST_TEST(orders.front().task.job.string() == "long-running");
 }
 
-BOOST_AUTO_TEST_CASE(urgentQueuesGoFirst)
+BOOST_AUTO_TEST_CASE(queuesWithALowerPriorityNumberArePlacedFirst)
 {
     this->addWorker("w1", "north", 1000);
     this->addJob("a", { step(1, 1000) }, "careful");
@@ -260,25 +260,25 @@
     BOOST_TEST(orders.front().task.job.string() == "b");
 }
 
-BOOST_AUTO_TEST_CASE(fillingTasksTakeNoRoomAndKeepAwayFromServingOnes)
+BOOST_AUTO_TEST_CASE(bestEffortTasksOccupyNoProcessorTimeAndAvoidLatencySensitiveTasks)
 {
-    WorkerRow& serving = this->addWorker("serving", "north", 1000);
-    this->addWorker("idle", "north", 1000);
-    StepSpec serve = step(1, 1000);
-    serve.lasting = true;
-    serve.tailTarget = Milliseconds(50);
-    this->addJob("serve", { serve });
+    WorkerRow& first = this->addWorker("first", "north", 1000);
+    this->addWorker("second", "north", 1000);
+    StepSpec latencySensitive = step(1, 1000);
+    latencySensitive.lasting = true;
+    latencySensitive.tailTarget = Milliseconds(50);
+    this->addJob("latency-sensitive", { latencySensitive });
     this->placeAndRun();
-    const WorkerId host = this->board.findTask(task("serve", 0, 0))->worker;
-    StepSpec fill = step(2, 4000);
-    fill.fills = true;
-    this->addJob("fill", { fill });
+    const WorkerId host = this->board.findTask(task("latency-sensitive", 0, 0))->worker;
+    StepSpec bestEffort = step(2, 4000);
+    bestEffort.fills = true;
+    this->addJob("best-effort", { bestEffort });
     for (const auto& order : this->place())
         BOOST_TEST((order.worker != host));
-    BOOST_TEST(serving.occupied.cpuMillis <= 1000);
+    BOOST_TEST(first.occupied.cpuMillis <= 1000);
 }
 
-BOOST_AUTO_TEST_CASE(scheduledWorkDoesNotStartBeforeItsTime)
+BOOST_AUTO_TEST_CASE(scheduledOccurrencesDoNotStartBeforeTheirDueTime)
 {
     this->addWorker("w1");
     JobRecord record;
--- a/modules/jobs/tests/ReportTests.cpp
+++ b/modules/jobs/tests/ReportTests.cpp
@@ -1,32 +1,32 @@
-#include "BoardFixture.h"
+#include "JobTablesFixture.h"
 
 #include <boost/test/unit_test.hpp>
 
 using namespace Greengage;
 
-BOOST_FIXTURE_TEST_SUITE(Reports, BoardFixture)
+BOOST_FIXTURE_TEST_SUITE(Reports, JobTablesFixture)
 
-BOOST_AUTO_TEST_CASE(anInheritedTaskIsNotStartedElsewhereWhileItsWorkerIsUnknown)
+BOOST_AUTO_TEST_CASE(anInheritedTaskIsNotStartedElsewhereWhileItsWorkerIsUnreached)
 {
     this->addWorker("reached");
-    WorkerRow& cutOff = this->addWorker("cut-off");
-    cutOff.isReached = false;
-    cutOff.isSuspect = true;
+    WorkerRow& unreached = this->addWorker("unreached");
+    unreached.isReached = false;
+    unreached.isSuspect = true;
     JobRow& job = this->addJob("j", { step(2, 1000) });
-    this->board.inherit(job, { { task("j", 0, 0), { WorkerId("cut-off"), 1 } } }, this->now);
+    this->board.inherit(job, { { task("j", 0, 0), { WorkerId("unreached"), 1 } } }, this->now);
     auto orders = this->place();
-    // Only the task that was stored as placed waits; the other was certainly not started.
+    // Only the task with a stored placement waits; the other was certainly not started.
     BOOST_REQUIRE(orders.size() == 1U);
     BOOST_TEST((orders.front().task == task("j", 0, 1)));
-    // Once the worker's lease is over, the task starts elsewhere under a higher number.
-    this->board.clearWorker(cutOff);
+    // Once the worker's lease has expired, the task starts on another worker under a higher number.
+    this->board.clearWorker(unreached);
     orders = this->place();
     BOOST_REQUIRE(orders.size() == 1U);
     BOOST_TEST(orders.front().worker.string() == "reached");
     BOOST_TEST(orders.front().run == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(anInheritedTaskGoesOnWhereItRuns)
+BOOST_AUTO_TEST_CASE(anInheritedTaskContinuesWhereItRuns)
 {
     WorkerRow& worker = this->addWorker("w1");
     JobRow& job = this->addJob("j", { step(1, 1000) });
@@ -38,7 +38,7 @@
     BOOST_TEST(this->place().empty());
 }
 
-BOOST_AUTO_TEST_CASE(anInheritedTaskThatItsWorkerDoesNotListStartsAnew)
+BOOST_AUTO_TEST_CASE(anInheritedTaskThatItsWorkerDoesNotListStartsAgain)
 {
     WorkerRow& worker = this->addWorker("w1");
     JobRow& job = this->addJob("j", { step(1, 1000) });
@@ -64,7 +64,7 @@
     BOOST_TEST(!worker.attempts.contains(task("j", 0, 0)));
 }
 
-BOOST_AUTO_TEST_CASE(aReportSaysNothingOfWhatWasConfirmedAfterItsQuestion)
+BOOST_AUTO_TEST_CASE(aReportSaysNothingAboutAnAttemptConfirmedAfterItsQuestion)
 {
     WorkerRow& worker = this->addWorker("w1");
     this->addJob("j", { step(1, 1000) });
@@ -75,7 +75,7 @@
     BOOST_TEST(worker.attempts.contains(task("j", 0, 0)));
 }
 
-BOOST_AUTO_TEST_CASE(aPlannedAttemptIsNotTakenForLost)
+BOOST_AUTO_TEST_CASE(aPlannedAttemptDoesNotCountAsLost)
 {
     WorkerRow& worker = this->addWorker("w1");
     this->addJob("j", { step(1, 1000) });
@@ -100,7 +100,7 @@
     WorkerRow& worker = this->addWorker("w1");
     this->addJob("j", { step(1, 1000) });
     this->placeAndRun();
-    auto report = this->faithfulReport(worker);
+    auto report = this->fullReport(worker);
     report.running.front().checkpoint = "half";
     this->report(worker, report);
     this->board.clearWorker(worker);
@@ -109,7 +109,7 @@
     BOOST_TEST(worker.attempts.at(task("j", 0, 0)).checkpoint == "half");
 }
 
-BOOST_AUTO_TEST_CASE(aWorkerThatFailsAllIsSetAsideAndTriedAgainLater)
+BOOST_AUTO_TEST_CASE(aWorkerWithConsecutiveFailuresIsSetAsideAndTriedAgainLater)
 {
     this->addWorker("bad");
     this->addJob("j", { step(1, 1000) });
@@ -122,7 +122,7 @@
     BOOST_TEST(!this->place().empty());
 }
 
-BOOST_AUTO_TEST_CASE(anEndOfAnyAttemptFinishesTheTaskAndStopsAnother)
+BOOST_AUTO_TEST_CASE(aDoneAttemptFinishesTheTaskAndStopsTheCurrentAttempt)
 {
     this->addWorker("w1");
     this->addWorker("w2");
--- a/modules/jobs/tests/SizingTests.cpp
+++ b/modules/jobs/tests/SizingTests.cpp
@@ -1,4 +1,4 @@
-#include "BoardFixture.h"
+#include "JobTablesFixture.h"
 
 #include <jobs/model/UpkeepWave.h>
 #include <jobs/systems/PoolSizing.h>
@@ -10,7 +10,7 @@
 
 namespace {
 
-struct FleetFixture : BoardFixture {
+struct FleetFixture : JobTablesFixture {
     void addMachine(const std::string& id, const char* pool)
     {
         MachineFacts facts;
@@ -25,11 +25,11 @@
         this->machines[facts.id] = facts;
     }
 
-    std::vector<MoveOrder> size() { return this->sizing.advance(this->machines, {}, {}, this->now, this->unixMs); }
+    std::vector<MoveOrder> planMoves() { return this->sizing.advance(this->machines, {}, {}, this->now, this->unixMs); }
 
     std::map<VmId, MachineFacts> machines;
     PoolSizing sizing { this->board };
-    UpkeepSystem upkeep { this->board };
+    UpkeepSystem maintenance { this->board };
 };
 
 std::size_t movesTo(const std::vector<MoveOrder>& orders, const char* pool)
@@ -42,8 +42,8 @@
 
 BOOST_FIXTURE_TEST_SUITE(Sizing, FleetFixture)
 
-/// The load: one queue asks for several times what its pool holds, the other for next to nothing.
-BOOST_AUTO_TEST_CASE(aBurstBringsVmsFromTheSparePoolAndThenFromIdlePools)
+/// One queue asks for several times the capacity of its pool, the other for almost nothing.
+BOOST_AUTO_TEST_CASE(aBurstMovesVmsFromTheSparePoolAndThenFromIdlePools)
 {
     for (int index = 0; index < 4; ++index) {
         this->addMachine("n" + std::to_string(index), "north");
@@ -52,9 +52,9 @@
     this->addMachine("p0", "spare");
     this->addJob("burst", { step(56, 1000) });
     this->placeAndRun();
-    auto orders = this->size();
-    // 56 cores and a reserve of two VMs of eight cores want nine VMs; three more than four plus the spare one come
-    // from the idle pool, which keeps its reserve.
+    auto orders = this->planMoves();
+    // 56 cores and a reserve of two VMs of eight cores require nine VMs. Beyond the four in the pool and the spare one,
+    // two more come from the idle pool, which keeps its reserve.
     BOOST_TEST(movesTo(orders, "north") == 3U);
     BOOST_TEST((orders.front().from.string() == "spare"));
     for (const auto& order : orders) {
@@ -63,7 +63,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(arrivingWorkBringsVmsBeforeAnythingWaits)
+BOOST_AUTO_TEST_CASE(arrivingWorkMovesVmsBeforeAnyTaskWaits)
 {
     for (int index = 0; index < 3; ++index)
         this->addMachine("n" + std::to_string(index), "north");
@@ -73,48 +73,48 @@
     spec.steps = { step(10, 1000) };
     for (int arrival = 0; arrival < 3; ++arrival)
         this->sizing.noteArrival(PoolId("north"), spec, this->now);
-    BOOST_TEST(movesTo(this->size(), "north") > 0U);
+    BOOST_TEST(movesTo(this->planMoves(), "north") > 0U);
 }
 
-BOOST_AUTO_TEST_CASE(idleVmsAreSwitchedOffAfterAWhileButForTheReserve)
+BOOST_AUTO_TEST_CASE(idleVmsBeyondTheReserveAreSwitchedOffAfterTheRetention)
 {
     for (int index = 0; index < 5; ++index)
         this->addMachine("n" + std::to_string(index), "north");
     for (int index = 0; index < PoolSizing::reserveMachines; ++index)
         this->addMachine("s" + std::to_string(index), "south");
-    BOOST_TEST(movesTo(this->size(), "spare") == 0U);
-    this->advance(PoolSizing::keepIdleFor);
-    BOOST_TEST(movesTo(this->size(), "spare") == 5U - PoolSizing::reserveMachines);
+    BOOST_TEST(movesTo(this->planMoves(), "spare") == 0U);
+    this->advance(PoolSizing::idleRetention);
+    BOOST_TEST(movesTo(this->planMoves(), "spare") == 5U - PoolSizing::reserveMachines);
 }
 
-BOOST_AUTO_TEST_CASE(aVmWithWorkOnItIsNeverMoved)
+BOOST_AUTO_TEST_CASE(aVmWithAttemptsIsNeverMoved)
 {
     for (int index = 0; index < 5; ++index)
         this->addMachine("n" + std::to_string(index), "north");
-    StepSpec lasting = step(5, 100);
-    lasting.lasting = true;
-    lasting.perWorkerLimit = 1;
-    this->addJob("lasting", { lasting });
+    StepSpec longRunning = step(5, 100);
+    longRunning.lasting = true;
+    longRunning.perWorkerLimit = 1;
+    this->addJob("long-running", { longRunning });
     this->placeAndRun();
-    this->size();
+    this->planMoves();
     this->advance(Seconds(60));
-    BOOST_TEST(this->size().empty());
+    BOOST_TEST(this->planMoves().empty());
 }
 
-BOOST_AUTO_TEST_CASE(aPoolKeepsAsManyVmsAsALastingStepNeedsHosts)
+BOOST_AUTO_TEST_CASE(aPoolHasAsManyVmsAsALongRunningStepNeedsWorkers)
 {
     for (int index = 0; index < 8; ++index)
         this->addMachine("p" + std::to_string(index), "spare");
     this->addMachine("n0", "north");
-    StepSpec lasting = step(5, 100);
-    lasting.lasting = true;
-    lasting.perWorkerLimit = 1;
-    this->addJob("lasting", { lasting });
+    StepSpec longRunning = step(5, 100);
+    longRunning.lasting = true;
+    longRunning.perWorkerLimit = 1;
+    this->addJob("long-running", { longRunning });
     this->placeAndRun();
-    BOOST_TEST(movesTo(this->size(), "north") >= 4U);
+    BOOST_TEST(movesTo(this->planMoves(), "north") >= 4U);
 }
 
-BOOST_AUTO_TEST_CASE(aWaveTakesDownOnlyAsManyVmsAsItMay)
+BOOST_AUTO_TEST_CASE(aWaveTakesDownNoMoreVmsThanItsMaximum)
 {
     UpkeepWave wave;
     wave.number = 1;
@@ -124,15 +124,15 @@
         this->addMachine("n" + std::to_string(index), "north");
         wave.machines.emplace_back("n" + std::to_string(index));
     }
-    auto ready = this->upkeep.advance(wave, this->machines, {}, this->now);
+    auto ready = this->maintenance.advance(wave, this->machines, {}, this->now);
     BOOST_REQUIRE(ready.size() == 2U);
     std::map<VmId, Deadline> down;
     for (const auto& machine : ready)
         down[machine] = Deadline::after(this->now, Seconds(2));
-    BOOST_TEST(this->upkeep.advance(wave, this->machines, down, this->now).empty());
+    BOOST_TEST(this->maintenance.advance(wave, this->machines, down, this->now).empty());
 }
 
-BOOST_AUTO_TEST_CASE(aWaveEmptiesAVmWithinWhatALastingStepMayMiss)
+BOOST_AUTO_TEST_CASE(aWaveStopsNoMoreTasksThanALongRunningStepMayMiss)
 {
     UpkeepWave wave;
     wave.number = 1;
@@ -142,11 +142,11 @@
         this->addMachine("n" + std::to_string(index), "north");
         wave.machines.emplace_back("n" + std::to_string(index));
     }
-    StepSpec lasting = step(3, 100);
-    lasting.lasting = true;
-    lasting.perWorkerLimit = 1;
-    lasting.mayMiss = 1;
-    this->addJob("lasting", { lasting });
+    StepSpec longRunning = step(3, 100);
+    longRunning.lasting = true;
+    longRunning.perWorkerLimit = 1;
+    longRunning.mayMiss = 1;
+    this->addJob("long-running", { longRunning });
     this->placeAndRun();
     auto stopping = [this] {
         std::size_t count = 0;
@@ -156,8 +156,8 @@
         }
         return count;
     };
-    this->upkeep.advance(wave, this->machines, {}, this->now);
-    this->upkeep.advance(wave, this->machines, {}, this->now);
+    this->maintenance.advance(wave, this->machines, {}, this->now);
+    this->maintenance.advance(wave, this->machines, {}, this->now);
     BOOST_TEST(stopping() == 1U);
 }
 
