--- a/modules/coordinator/desk/DeskOutcome.h
+++ b/modules/coordinator/desk/DeskOutcome.h
@@ -4,15 +4,15 @@
 
 namespace Greengage {
 
-/// What came of a submission or a cancellation.
+/// The result of a submission, a cancellation or a query.
 enum class DeskOutcome {
-    /// It is stored.
+    /// The request is stored.
     Stored,
-    /// Nothing was stored, nor will be.
+    /// Nothing was stored, and nothing will be.
     NotStored,
     /// It may have been stored, or may be later.
     Unknown,
-    /// There is no such job.
+    /// The job does not exist.
     NoSuchJob,
 };
 
--- a/modules/coordinator/desk/JobDesk.h
+++ b/modules/coordinator/desk/JobDesk.h
@@ -16,16 +16,16 @@
 
 namespace Greengage {
 
-/// What a daemon tells a caller about a job.
+/// The answer to a query for the state of a job.
 struct StateAnswer {
     DeskOutcome outcome = DeskOutcome::Unknown;
-    /// Only if the outcome is Stored.
+    /// Valid only if the outcome is Stored.
     JobState state = JobState::Waiting;
 };
 
-/// Serves callers from the shared store alone, so that every daemon that reaches the store can: takes submissions and
-/// cancellations, and tells states. A job is stored under its id before it is acknowledged, and only if the id is new,
-/// so a submission that arrives again, at any daemon, stays one job.
+/// Serves callers' submissions, cancellations and queries. It needs only the shared store, so every daemon that reaches
+/// the store can serve. A job is stored under its id before it is acknowledged, and only if the id is new, so a
+/// submission that is repeated, at any daemon, stays one job.
 template <SharedStore Store> class JobDesk {
 public:
     using OutcomeCallback = std::function<void(DeskOutcome)>;
@@ -36,7 +36,7 @@
     {
     }
 
-    /// Stores a job. Tries again until `deadline` while the outcome is not known.
+    /// Stores a job. Retries until `deadline` while the outcome is unknown.
     void submit(const JobRecord& record, Deadline deadline, OutcomeCallback callback)
     {
         KvCommit commit;
@@ -45,7 +45,7 @@
         this->commitUntil(std::move(commit), deadline, false, std::move(callback));
     }
 
-    /// Stores the wish that a job be cancelled.
+    /// Stores the request to cancel a job. Answers NotStored if the job cannot be read.
     void cancel(const JobId& id, Deadline deadline, OutcomeCallback callback)
     {
         this->store.read(StoreKeys::job(id), [this, id, deadline, callback = std::move(callback)](auto result) {
@@ -64,6 +64,7 @@
         });
     }
 
+    /// Reads the state of a job, open or ended.
     void findState(const JobId& id, StateCallback callback)
     {
         this->store.list(StoreKeys::job(id), [this, id, callback = std::move(callback)](auto result) {
@@ -110,8 +111,8 @@
         });
     }
 
-    /// `mayBeStored` says that an earlier try got no answer. A refused expectation means that the key is there: the job
-    /// was stored by this or an earlier submission, or has ended since.
+    /// `mayBeStored` says that an earlier try got no answer. An expectation that does not hold means that the key
+    /// exists: the job was stored by this or an earlier submission, or has ended since.
     void commitUntil(KvCommit commit, Deadline deadline, bool mayBeStored, OutcomeCallback callback)
     {
         this->store.commit(commit, [this, commit, deadline, mayBeStored, callback = std::move(callback)](auto result) {
--- a/modules/coordinator/fleet/MachineService.h
+++ b/modules/coordinator/fleet/MachineService.h
@@ -11,17 +11,17 @@
 
 namespace Greengage {
 
-/// What came of an order to a VM.
+/// The result of an order to a VM.
 enum class MachineOutcome {
-    /// It is being done, or was done before.
+    /// The order is being carried out, or was carried out before.
     Taken,
-    /// The VM is not up, or is leaving.
+    /// The VM is not up, or is shutting down.
     Busy,
-    /// The VM has had orders under a higher token.
+    /// The VM has had orders under a higher fencing token.
     Fenced,
-    /// The VM is not of the wave, or does not exist.
+    /// The VM does not belong to the wave, or does not exist.
     Refused,
-    /// Too many calls, or the service is out; nothing was done.
+    /// Too many calls, or the service is unavailable; nothing was done.
     Unavailable,
     /// The order may have been carried out.
     NoAnswer,
@@ -41,14 +41,14 @@
 using MachineListCallback = std::function<void(Result<std::vector<MachineFacts>, MachineOutcome>)>;
 using MachineOrderCallback = std::function<void(MachineOutcome)>;
 
-/// Lists the fleet's VMs and carries orders to them. Each call ends in exactly one callback, from the loop.
+/// Lists the fleet's VMs and sends orders to them. Each call ends in exactly one callback, from the loop.
 template <typename Service>
 concept MachineService = requires(Service& service, const VmId& machine, const PoolId& pool, std::int64_t number,
-    MachineListCallback listed, MachineOrderCallback done)
+    MachineListCallback onListed, MachineOrderCallback onAnswered)
 {
-    service.list(listed);
-    service.beginUpkeep(machine, number, number, done);
-    service.move(machine, pool, number, done);
+    service.list(onListed);
+    service.beginUpkeep(machine, number, number, onAnswered);
+    service.move(machine, pool, number, onAnswered);
 };
 
 } // namespace Greengage
--- a/modules/coordinator/fleet/WaveRecord.h
+++ b/modules/coordinator/fleet/WaveRecord.h
@@ -9,8 +9,9 @@
 
 namespace Greengage {
 
-/// How far a wave has come, as it is stored.
+/// The stored progress of a maintenance wave.
 struct WaveRecord {
+    /// VMs whose maintenance has begun.
     std::set<VmId> done;
     bool isCompleted = false;
 
--- a/modules/coordinator/store/KvCommitResult.h
+++ b/modules/coordinator/store/KvCommitResult.h
@@ -8,15 +8,15 @@
 
 namespace Greengage {
 
-/// What came of a commit that the store has decided on.
+/// The result of a commit that the store has decided on.
 struct KvCommitResult {
     bool isCommitted = false;
-    /// The revision of the writes, if they were done.
+    /// The revision of the writes, if they were applied.
     std::int64_t revision = 0;
-    /// If they were not: the expected keys as they are now. Keys that do not exist are left out.
+    /// If the writes were not applied: the expected keys as they are now. Keys that do not exist are left out.
     std::vector<KvItem> current;
 
-    /// The present revision of an expected key; 0 if it does not exist.
+    /// The current revision of an expected key; 0 if it does not exist. Valid only if the commit was not applied.
     std::int64_t currentRevision(std::string_view key) const
     {
         for (const auto& item : this->current) {
--- a/modules/coordinator/store/KvFailure.h
+++ b/modules/coordinator/store/KvFailure.h
@@ -4,15 +4,15 @@
 
 namespace Greengage {
 
-/// Why a call to the shared store brought no result.
+/// Why a call to the shared store has no result.
 enum class KvFailure {
-    /// The store or the network refused the call; nothing was done.
+    /// The store or the network refused the call; nothing was written.
     Refused,
-    /// No answer; a write may have been done, or may be done later.
+    /// No answer; a write may have been applied, or may be applied later.
     Unanswered,
-    /// The history that a watch asked for is not available any more.
+    /// The history that a watch asked for is no longer available.
     HistoryGone,
-    /// The answer could not be understood.
+    /// The answer could not be parsed.
     Malformed,
 };
 
--- a/modules/coordinator/store/KvItem.h
+++ b/modules/coordinator/store/KvItem.h
@@ -5,13 +5,13 @@
 
 namespace Greengage {
 
-/// One key of the shared store as it was written last.
+/// One key of the shared store as of its last write.
 struct KvItem {
     std::string key;
     std::string value;
     /// The store's revision of the last write of the key.
     std::int64_t revision = 0;
-    /// The key was removed; there is no value.
+    /// Whether the key was removed; there is no value then.
     bool isRemoved = false;
 };
 
--- a/modules/coordinator/store/KvListing.h
+++ b/modules/coordinator/store/KvListing.h
@@ -7,7 +7,7 @@
 
 namespace Greengage {
 
-/// The keys below a prefix, or their changes, up to a revision of the store.
+/// The keys below a prefix, or their changes, as of a revision of the store.
 struct KvListing {
     std::vector<KvItem> items;
     std::int64_t revision = 0;
--- a/modules/coordinator/store/PrefixMirror.h
+++ b/modules/coordinator/store/PrefixMirror.h
@@ -12,19 +12,20 @@
 
 namespace Greengage {
 
-/// Follows all keys below one prefix of the shared store: a listing first, then the changes. Lists anew when the store
-/// has dropped the history that it needs.
+/// Follows all keys below one prefix of the shared store: reads a listing first, then watches for changes. Lists again
+/// when the store has dropped the history that the watch needs.
 template <SharedStore Store> class PrefixMirror {
 public:
     struct Handlers {
-        /// A whole listing; keys that are not in it do not exist.
-        std::function<void(const KvListing&)> listed;
-        /// Changes since, in order; may be none.
-        std::function<void(const KvListing&)> changed;
-        /// The store has not answered.
-        std::function<void(KvFailure)> failed;
+        /// Called with a complete listing; keys that are not in it do not exist.
+        std::function<void(const KvListing&)> onListing;
+        /// Called with the changes since, in order; there may be none.
+        std::function<void(const KvListing&)> onChanges;
+        /// Called when the store has given no usable answer.
+        std::function<void(KvFailure)> onFailure;
     };
 
+    /// `wait` is how long one watch waits for changes.
     PrefixMirror(event_base& base, Store& store, std::string prefix, Milliseconds wait, Handlers handlers)
         : store(store)
         , prefix(std::move(prefix))
@@ -40,7 +41,7 @@
     PrefixMirror(const PrefixMirror&) = delete;
     PrefixMirror& operator=(const PrefixMirror&) = delete;
 
-    /// From now on nothing is told any more.
+    /// Calls no handler any more, also for calls that are still open.
     void close()
     {
         *this->alive = false;
@@ -52,26 +53,27 @@
     /// When the store last answered.
     Instant lastAnswer() const { return this->answeredAt; }
 
+    /// Whether a complete listing has been read, and the history since is known.
     bool isLoaded() const { return this->isListed; }
 
 private:
-    /// Pause after the first failed call; it doubles with each further one.
+    /// Pause after the first failed call; it doubles with each further failure.
     static constexpr Milliseconds firstRetryPause { 100 };
     static constexpr Milliseconds longestRetryPause { 800 };
 
     void proceed()
     {
-        auto take = [this, alive = this->alive, asked = this->isListed](Result<KvListing, KvFailure> result) {
+        auto onResult = [this, alive = this->alive, wasListed = this->isListed](Result<KvListing, KvFailure> result) {
             if (*alive)
-                this->take(asked, std::move(result));
+                this->handleResult(wasListed, std::move(result));
         };
         if (this->isListed)
-            this->store.watch(this->prefix, this->revision, this->wait, take);
+            this->store.watch(this->prefix, this->revision, this->wait, onResult);
         else
-            this->store.list(this->prefix, take);
+            this->store.list(this->prefix, onResult);
     }
 
-    void take(bool wasWatch, Result<KvListing, KvFailure> result)
+    void handleResult(bool wasWatch, Result<KvListing, KvFailure> result)
     {
         if (!result.has_value()) {
             this->fail(result.error());
@@ -84,7 +86,7 @@
         this->revision = std::max(this->revision, result.value().revision);
         this->isListed = true;
         auto stillAlive = this->alive;
-        (wasWatch ? this->handlers.changed : this->handlers.listed)(result.value());
+        (wasWatch ? this->handlers.onChanges : this->handlers.onListing)(result.value());
         if (*stillAlive)
             this->timer.schedule(Microseconds(0));
     }
@@ -104,7 +106,7 @@
         auto pause = std::min(longestRetryPause, firstRetryPause * (1 << std::min(this->failures, 3)));
         this->failures += 1;
         auto stillAlive = this->alive;
-        this->handlers.failed(failure);
+        this->handlers.onFailure(failure);
         if (*stillAlive)
             this->timer.schedule(pause);
     }
--- a/modules/coordinator/store/SharedStore.h
+++ b/modules/coordinator/store/SharedStore.h
@@ -18,8 +18,9 @@
 using KvListCallback = std::function<void(Result<KvListing, KvFailure>)>;
 using KvCommitCallback = std::function<void(Result<KvCommitResult, KvFailure>)>;
 
-/// The store that outlives all daemons. Each call ends in exactly one callback, from the loop. `watch` answers with the
-/// changes below a prefix after a revision as soon as there are any, or with none when the wait is over.
+/// The key-value store that all daemons share, which outlives them. Each call ends in exactly one callback, from the
+/// loop. `watch` answers with the changes below a prefix after a revision as soon as there are any, or with none when
+/// the wait has passed.
 template <typename Store>
 concept SharedStore = requires(Store& store, std::string text, std::int64_t revision, Milliseconds wait,
     KvReadCallback read, KvListCallback list, KvCommitCallback commit, KvCommit writes)
--- a/modules/coordinator/workers/AdviceService.h
+++ b/modules/coordinator/workers/AdviceService.h
@@ -9,11 +9,12 @@
 
 namespace Greengage {
 
+/// Why the advice service gave no usable answer.
 enum class AdviceFailure {
-    /// Too many questions wait there.
+    /// Too many questions are queued at the service.
     Busy,
     NoAnswer,
-    /// The answer could not be understood, or the question was refused.
+    /// The answer could not be parsed, or the question was refused.
     Malformed,
 };
 
@@ -27,7 +28,7 @@
 
 using AdviceCallback = std::function<void(Result<AdviceAnswer, AdviceFailure>)>;
 
-/// Says which workers may run a step. Each call ends in exactly one callback, from the loop.
+/// Answers which workers may run a step. Each call ends in exactly one callback, from the loop.
 template <typename Service>
 concept AdviceService = requires(Service& service, const AdviceQuestion& question, AdviceCallback callback)
 {
--- a/modules/coordinator/workers/WorkerEndpoint.h
+++ b/modules/coordinator/workers/WorkerEndpoint.h
@@ -7,7 +7,8 @@
 
 namespace Greengage {
 
-/// Where a worker takes orders, and which worker is meant: another one that answers there refuses.
+/// The address at which a worker accepts orders, and the id of the worker that is meant: any other worker that listens
+/// there refuses them.
 struct WorkerEndpoint {
     WorkerId id;
     std::string address;
--- a/modules/coordinator/workers/WorkerFailure.h
+++ b/modules/coordinator/workers/WorkerFailure.h
@@ -4,13 +4,13 @@
 
 namespace Greengage {
 
-/// Why a worker gave no report.
+/// Why a lease renewal brought no report from a worker.
 enum class WorkerFailure {
     /// The worker has seen a higher fencing token.
     Fenced,
-    /// Another life of the worker, or another worker, answered.
+    /// Another incarnation of the worker, or another worker, answered.
     OtherLife,
-    /// It answered that it is unhealthy, or what it answered could not be understood.
+    /// The worker answered that it is unhealthy, or its answer could not be parsed.
     Unhealthy,
     NoAnswer,
 };
--- a/modules/coordinator/workers/WorkerLink.h
+++ b/modules/coordinator/workers/WorkerLink.h
@@ -12,19 +12,19 @@
 namespace Greengage {
 
 using StartCallback = std::function<void(StartOutcome)>;
-/// Whether the worker has taken the order note of; it is safe to repeat.
-using OrderCallback = std::function<void(bool isTaken)>;
+/// Whether the worker has accepted the order. An order can be repeated safely.
+using OrderCallback = std::function<void(bool isAccepted)>;
 using ReportCallback = std::function<void(Result<WorkerReport, WorkerFailure>)>;
 
-/// Carries orders to workers. Each call ends in exactly one callback, from the loop.
+/// Sends orders to workers. Each call ends in exactly one callback, from the loop.
 template <typename Link>
 concept WorkerLink = requires(Link& link, const WorkerEndpoint& worker, StartAttempt start, StopAttempt stop,
-    RenewLease renew, PaceAttempt pace, StartCallback started, OrderCallback taken, ReportCallback reported)
+    RenewLease renew, PaceAttempt pace, StartCallback onStarted, OrderCallback onAnswered, ReportCallback onReport)
 {
-    link.start(worker, start, started);
-    link.stop(worker, stop, taken);
-    link.pace(worker, pace, taken);
-    link.renew(worker, renew, reported);
+    link.start(worker, start, onStarted);
+    link.stop(worker, stop, onAnswered);
+    link.pace(worker, pace, onAnswered);
+    link.renew(worker, renew, onReport);
 };
 
 } // namespace Greengage
