--- a/modules/coordinator/fleet/FleetDriver.h
+++ b/modules/coordinator/fleet/FleetController.h
@@ -17,33 +17,33 @@
 
 namespace Greengage {
 
-/// Sizes the pools and carries out the operators' waves while this daemon holds the leadership. Each VM that was taken
-/// down is stored before the next step, so that another holder goes on where this one stopped.
-template <SharedStore Store, MachineService Machines> class FleetDriver {
+/// Sizes the pools and carries out the operators' maintenance waves while this daemon is the leader. Each VM that has
+/// gone into maintenance is stored before the next step, so that another leader continues where this one stopped.
+template <SharedStore Store, MachineService Machines> class FleetController {
 public:
-    /// Told to the operators: whether a wave is completed.
+    /// Adds to a commit what the operators see of a wave: whether it is completed.
     using Publish = std::function<void(std::int64_t wave, bool isCompleted, KvCommit&)>;
 
-    FleetDriver(Store& store, Machines& machines, Leadership<Store>& leadership, JobBoard& board, Deadline ordersFrom,
-        Publish publish)
+    FleetController(Store& store, Machines& machines, Leadership<Store>& leadership, JobBoard& tables,
+        Deadline unfencedOrdersFrom, Publish publish)
         : store(store)
         , machines(machines)
         , leadership(leadership)
-        , board(board)
-        , system(board)
-        , sizing(board)
-        , ordersFrom(ordersFrom)
+        , tables(tables)
+        , system(tables)
+        , sizing(tables)
+        , unfencedOrdersFrom(unfencedOrdersFrom)
         , publish(std::move(publish))
         , alive(std::make_shared<bool>(true))
     {
     }
 
-    ~FleetDriver() { *this->alive = false; }
+    ~FleetController() { *this->alive = false; }
 
-    FleetDriver(const FleetDriver&) = delete;
-    FleetDriver& operator=(const FleetDriver&) = delete;
+    FleetController(const FleetController&) = delete;
+    FleetController& operator=(const FleetController&) = delete;
 
-    /// From now on answers that are still to come change nothing.
+    /// Ignores all answers that arrive from now on.
     void close() { *this->alive = false; }
 
     void tick(const std::map<std::int64_t, UpkeepWave>& waves, Instant now)
@@ -52,12 +52,12 @@
             this->list(now);
         if (!this->listedAt)
             return;
-        std::erase_if(this->mayBeDown, [now](const auto& entry) { return entry.second.hasPassed(now); });
-        std::erase_if(this->onTheirWay, [now](const auto& entry) { return entry.second.until.hasPassed(now); });
-        if (!this->leadership.mayGiveDuties(now))
+        std::erase_if(this->possiblyDown, [now](const auto& entry) { return entry.second.hasPassed(now); });
+        std::erase_if(this->arrivingMachines, [now](const auto& entry) { return entry.second.until.hasPassed(now); });
+        if (!this->leadership.maySendUnfencedOrders(now))
             return;
-        // Until then, tasks that the earlier holder has told to stop may still look as if they were at work.
-        if (!this->ordersFrom.hasPassed(now))
+        // Until then, tasks that an earlier leader has ordered to stop may still be reported as running.
+        if (!this->unfencedOrdersFrom.hasPassed(now))
             return;
         this->tickWaves(waves, now);
         if (this->nextSizing.hasPassed(now)) {
@@ -66,8 +66,8 @@
         }
     }
 
-    /// A job has come to a pool.
-    void noteArrival(const PoolId& pool, const JobSpec& spec, Instant now)
+    /// Records a new job of a pool, from which the demand for VMs is estimated.
+    void recordArrival(const PoolId& pool, const JobSpec& spec, Instant now)
     {
         this->sizing.noteArrival(pool, spec, now);
     }
@@ -83,26 +83,26 @@
         Deadline until;
     };
 
-    /// The fleet is listed this often.
+    /// Time between listings of the fleet.
     static constexpr Milliseconds listingPeriod { 500 };
     static constexpr Milliseconds sizingPeriod { 100 };
-    /// A VM that was ordered down counts as down for so long, whatever an older listing says.
-    static constexpr Milliseconds orderedDownFor { 2500 };
-    /// A VM that was ordered into a pool counts as on its way for so long.
-    static constexpr Milliseconds onItsWayFor { 3000 };
+    /// A VM whose maintenance was ordered counts as down for this long, whatever an older listing says.
+    static constexpr Milliseconds orderedDownPeriod { 2500 };
+    /// A VM that was ordered into a pool counts as arriving there for this long.
+    static constexpr Milliseconds arrivalLimit { 3000 };
     static constexpr Milliseconds retryPause { 400 };
 
     void sizePools(Instant now)
     {
         std::map<PoolId, std::int64_t> incoming;
-        std::set<VmId> busy(this->underWay.begin(), this->underWay.end());
-        for (const auto& [machine, arrival] : this->onTheirWay) {
+        std::set<VmId> busy(this->pendingOrders.begin(), this->pendingOrders.end());
+        for (const auto& [machine, arrival] : this->arrivingMachines) {
             incoming[arrival.pool] += 1;
             busy.insert(machine);
         }
-        for (const auto& [machine, until] : this->mayBeDown)
+        for (const auto& [machine, until] : this->possiblyDown)
             busy.insert(machine);
-        for (const auto& [machine, until] : this->notBefore) {
+        for (const auto& [machine, until] : this->retryFrom) {
             if (!until.hasPassed(now))
                 busy.insert(machine);
         }
@@ -112,8 +112,8 @@
 
     void move(const MoveOrder& order, Instant now)
     {
-        this->underWay.insert(order.machine);
-        this->onTheirWay[order.machine] = { order.to, Deadline::after(now, onItsWayFor) };
+        this->pendingOrders.insert(order.machine);
+        this->arrivingMachines[order.machine] = { order.to, Deadline::after(now, arrivalLimit) };
         writeLog(LogLevel::Info,
             LogLine("move_ordered")
                 .add("machine", order.machine.string())
@@ -122,14 +122,14 @@
         this->machines.move(order.machine, order.to, this->leadership.currentTerm().fencingToken,
             [this, alive = this->alive, order](MachineOutcome outcome) {
                 if (*alive)
-                    this->takeMove(order, outcome);
+                    this->handleMoveOutcome(order, outcome);
             });
     }
 
-    void takeMove(const MoveOrder& order, MachineOutcome outcome)
+    void handleMoveOutcome(const MoveOrder& order, MachineOutcome outcome)
     {
         Instant now = BootClock::now();
-        this->underWay.erase(order.machine);
+        this->pendingOrders.erase(order.machine);
         writeLog(outcome == MachineOutcome::Taken ? LogLevel::Info : LogLevel::Warning,
             LogLine("move_answered").add("machine", order.machine.string()).add("outcome", nameOf(outcome)));
         if (outcome == MachineOutcome::Fenced) {
@@ -137,18 +137,18 @@
             return;
         }
         if (outcome == MachineOutcome::Taken) {
-            this->onTheirWay[order.machine] = { order.to, Deadline::after(now, onItsWayFor) };
+            this->arrivingMachines[order.machine] = { order.to, Deadline::after(now, arrivalLimit) };
             return;
         }
-        this->notBefore[order.machine] = Deadline::after(now, retryPause);
+        this->retryFrom[order.machine] = Deadline::after(now, retryPause);
         if (outcome == MachineOutcome::NoAnswer)
             return;
-        // The VM stays where it is, so its worker takes work again.
-        this->onTheirWay.erase(order.machine);
+        // The VM stays in its pool, so its worker accepts tasks again.
+        this->arrivingMachines.erase(order.machine);
         auto facts = this->fleet.find(order.machine);
         if (facts == this->fleet.end())
             return;
-        if (auto* worker = this->board.findWorker(facts->second.worker))
+        if (auto* worker = this->tables.findWorker(facts->second.worker))
             worker->isEvacuating = false;
     }
 
@@ -167,9 +167,9 @@
             }
         }
         if (!current) {
-            if (this->isEmptying)
+            if (this->isDraining)
                 this->system.release();
-            this->isEmptying = false;
+            this->isDraining = false;
         } else if (!this->isStoring)
             this->advance(*current, now);
     }
@@ -218,7 +218,8 @@
                 this->progress.at(number).revision = result.value().revision;
                 return;
             }
-            // Read again what is stored; orders that were carried out are answered as done when they are repeated.
+            // The progress is read again from the store. Orders that were carried out are answered as done when
+            // repeated.
             writeLog(LogLevel::Warning, LogLine("wave_not_stored").add("wave", number));
             this->progress.erase(number);
         });
@@ -239,11 +240,11 @@
             this->listedAt = now;
             this->fleet.clear();
             for (auto& facts : result.value()) {
-                auto arrival = this->onTheirWay.find(facts.id);
-                bool hasArrived = arrival != this->onTheirWay.end() && facts.pool == arrival->second.pool
-                    && facts.state == MachineState::Up && !this->underWay.contains(facts.id);
+                auto arrival = this->arrivingMachines.find(facts.id);
+                bool hasArrived = arrival != this->arrivingMachines.end() && facts.pool == arrival->second.pool
+                    && facts.state == MachineState::Up && !this->pendingOrders.contains(facts.id);
                 if (hasArrived)
-                    this->onTheirWay.erase(arrival);
+                    this->arrivingMachines.erase(arrival);
                 this->fleet[facts.id] = facts;
             }
         });
@@ -254,40 +255,40 @@
         Progress& progress = this->progress.at(wave.number);
         UpkeepWave current = wave;
         current.done = progress.record.done;
-        bool isOver = std::all_of(wave.machines.begin(), wave.machines.end(),
+        bool isFinished = std::all_of(wave.machines.begin(), wave.machines.end(),
             [&](const VmId& machine) { return current.done.contains(machine) || !this->fleet.contains(machine); });
-        if (isOver) {
+        if (isFinished) {
             writeLog(LogLevel::Info, LogLine("wave_completed").add("wave", wave.number));
             progress.record.isCompleted = true;
             this->system.release();
             this->save(wave.number);
             return;
         }
-        this->isEmptying = true;
-        for (const auto& machine : this->system.advance(current, this->fleet, this->mayBeDown, now)) {
-            if (!this->underWay.contains(machine) && !this->onTheirWay.contains(machine)
-                && (!this->notBefore.contains(machine) || this->notBefore.at(machine).hasPassed(now)))
-                this->takeDown(wave.number, machine);
+        this->isDraining = true;
+        for (const auto& machine : this->system.advance(current, this->fleet, this->possiblyDown, now)) {
+            if (!this->pendingOrders.contains(machine) && !this->arrivingMachines.contains(machine)
+                && (!this->retryFrom.contains(machine) || this->retryFrom.at(machine).hasPassed(now)))
+                this->orderMaintenance(wave.number, machine);
         }
     }
 
-    void takeDown(std::int64_t wave, const VmId& machine)
+    void orderMaintenance(std::int64_t wave, const VmId& machine)
     {
-        this->underWay.insert(machine);
-        // Counts as down from the order on, since the answer may be lost.
-        this->mayBeDown[machine] = Deadline::never();
+        this->pendingOrders.insert(machine);
+        // Counts as down from now on, since the answer may be lost.
+        this->possiblyDown[machine] = Deadline::never();
         writeLog(LogLevel::Info, LogLine("upkeep_ordered").add("wave", wave).add("machine", machine.string()));
         this->machines.beginUpkeep(machine, wave, this->leadership.currentTerm().fencingToken,
             [this, alive = this->alive, wave, machine](MachineOutcome outcome) {
                 if (*alive)
-                    this->takeOutcome(wave, machine, outcome);
+                    this->handleMaintenanceOutcome(wave, machine, outcome);
             });
     }
 
-    void takeOutcome(std::int64_t wave, const VmId& machine, MachineOutcome outcome)
+    void handleMaintenanceOutcome(std::int64_t wave, const VmId& machine, MachineOutcome outcome)
     {
         Instant now = BootClock::now();
-        this->underWay.erase(machine);
+        this->pendingOrders.erase(machine);
         writeLog(LogLevel::Info,
             LogLine("upkeep_answered")
                 .add("wave", wave)
@@ -295,41 +296,41 @@
                 .add("outcome", nameOf(outcome)));
         bool mayHaveBegun = outcome == MachineOutcome::Taken || outcome == MachineOutcome::NoAnswer;
         if (mayHaveBegun)
-            this->mayBeDown[machine] = Deadline::after(now, orderedDownFor);
+            this->possiblyDown[machine] = Deadline::after(now, orderedDownPeriod);
         else
-            this->mayBeDown.erase(machine);
-        this->notBefore[machine] = Deadline::after(now, retryPause);
+            this->possiblyDown.erase(machine);
+        this->retryFrom[machine] = Deadline::after(now, retryPause);
         if (outcome == MachineOutcome::Fenced)
             this->leadership.stepDown("a machine knows a higher token");
         if (outcome != MachineOutcome::Taken || !this->progress.contains(wave))
             return;
         this->progress.at(wave).record.done.insert(machine);
-        if (!this->isStoring && this->leadership.isHolder())
+        if (!this->isStoring && this->leadership.isLeader())
             this->save(wave);
     }
 
     Store& store;
     Machines& machines;
     Leadership<Store>& leadership;
-    JobBoard& board;
+    JobBoard& tables;
     UpkeepSystem system;
     PoolSizing sizing;
-    /// An earlier holder may have given orders until then.
-    Deadline ordersFrom;
+    /// When unfenced orders of an earlier leader can no longer take effect; none are sent before.
+    Deadline unfencedOrdersFrom;
     Publish publish;
     std::shared_ptr<bool> alive;
     std::map<std::int64_t, Progress> progress;
     std::map<VmId, MachineFacts> fleet;
-    std::map<VmId, Deadline> mayBeDown;
-    std::map<VmId, Deadline> notBefore;
-    std::map<VmId, Arrival> onTheirWay;
-    std::set<VmId> underWay;
+    std::map<VmId, Deadline> possiblyDown;
+    std::map<VmId, Deadline> retryFrom;
+    std::map<VmId, Arrival> arrivingMachines;
+    std::set<VmId> pendingOrders;
     Deadline nextSizing;
     Deadline nextListing;
     std::optional<Instant> listedAt;
     bool isListing = false;
     bool isStoring = false;
-    bool isEmptying = false;
+    bool isDraining = false;
 };
 
 } // namespace Greengage
--- a/modules/coordinator/leadership/DaemonSizes.h
+++ b/modules/coordinator/leadership/DaemonSizes.h
@@ -14,8 +14,8 @@
 
 namespace Greengage {
 
-/// What processor time each daemon has, as they tell each other through the shared store. A daemon that is gone keeps
-/// its entry, so sizes say who would go first, not who is alive.
+/// The processor time that each daemon has, as the daemons publish it in the shared store. A daemon that has stopped
+/// keeps its entry, so sizes tell which daemon is preferred as leader, not which daemons are alive.
 template <SharedStore Store> class DaemonSizes {
 public:
     DaemonSizes(Store& store, DaemonId self, std::int64_t cpuMillis)
@@ -25,8 +25,8 @@
     {
     }
 
-    /// Takes in a key below StoreKeys::sizes.
-    void take(const KvItem& item)
+    /// Applies the current value, or the removal, of a key below StoreKeys::sizes.
+    void apply(const KvItem& item)
     {
         DaemonId daemon(item.key.substr(std::string_view(StoreKeys::sizes).size()));
         std::int64_t size = 0;
@@ -51,9 +51,10 @@
         });
     }
 
+    /// The size of this daemon, in thousandths of a core.
     std::int64_t own() const { return this->cpuMillis; }
 
-    /// The size that a daemon has told of; zero if it has not.
+    /// The size that a daemon has published, in thousandths of a core; zero if it has published none.
     std::int64_t of(const DaemonId& daemon) const
     {
         auto found = this->sizes.find(daemon);
--- a/modules/coordinator/leadership/HolderRecord.h
+++ b/modules/coordinator/leadership/HolderRecord.h
@@ -9,12 +9,12 @@
 
 namespace Greengage {
 
-/// Who places tasks, as it is stored.
+/// The stored identity of the leader.
 struct HolderRecord {
-    /// Empty if the last holder has handed the part back.
+    /// Empty if the last leader has resigned.
     DaemonId daemon;
     IncarnationId incarnation;
-    /// Rises by one with each holder.
+    /// Rises by one with each leader.
     std::uint32_t epoch = 0;
 
     std::string encode() const;
--- a/modules/coordinator/leadership/Leadership.h
+++ b/modules/coordinator/leadership/Leadership.h
@@ -14,48 +14,50 @@
 
 namespace Greengage {
 
-/// A won leadership.
+/// One daemon's term as leader.
 struct Term {
-    /// The store's revision of the holder's key: higher than that of every earlier holder.
+    /// The store's revision of the leader key: higher than that of every earlier leader.
     std::int64_t fencingToken = 0;
     std::uint32_t epoch = 0;
-    /// How long orders of an earlier holder may still be sent.
-    Deadline earlierOrdersOver;
+    /// Until when an earlier leader may still send orders.
+    Deadline earlierOrdersExpire;
 };
 
-/// Settles, through the shared store, which daemon places tasks. The holder's key is taken by compare-and-swap and its
-/// revision is the fencing token. A holder acts only for a bounded time after the store last confirmed that it holds
-/// the key; others take the key when the holder has not rewritten its beat for a while. Placing is the heaviest part
-/// that a daemon can have, so smaller daemons let larger ones go first, and a smaller holder hands over to a larger one
-/// that offers itself.
+/// Elects, through the shared store, the leader: the daemon that places tasks. The leader key is acquired by
+/// compare-and-swap and its revision is the fencing token. A leader acts only for a bounded time after the store last
+/// confirmed that it holds the key; others acquire the key when the leader has not rewritten its heartbeat for a while.
+/// Placing tasks is the heaviest work of a daemon, so smaller daemons wait for larger ones to acquire the key first,
+/// and a smaller leader hands over to a larger daemon that offers itself.
 template <SharedStore Store> class Leadership {
 public:
     struct Handlers {
-        std::function<void(const Term&)> won;
-        std::function<void()> lost;
-        /// What the holder tells the others with each beat.
-        std::function<std::string()> beatText;
-        /// A beat of any holder has been read.
-        std::function<void(const std::string&)> beatRead;
+        std::function<void(const Term&)> onWon;
+        std::function<void()> onLost;
+        /// Makes the payload that the leader stores with each heartbeat.
+        std::function<std::string()> makeHeartbeatPayload;
+        /// A heartbeat of any leader has been read; called with its payload.
+        std::function<void(const std::string&)> onHeartbeat;
     };
 
-    /// How long a holder acts without word from the store.
+    /// How long a leader acts after the store last confirmed its leadership.
     static constexpr Milliseconds validity { 2500 };
-    /// The part of the validity in which duties are given. With the longest call it ends before the next holder's first
-    /// duty, which is the silence limit and a duty term after the last beat.
-    static constexpr Milliseconds dutyValidity { 2000 };
-    static constexpr Milliseconds beatPeriod { 400 };
-    /// A holder that has not rewritten its beat for so long is taken for gone. Three missed beats.
-    static constexpr Milliseconds silenceLimit { 1300 };
+    /// The part of the validity in which unfenced orders are sent. Together with the longest call it ends before the
+    /// next leader's first unfenced order, which is sent the heartbeat timeout and the unfenced order delay after the
+    /// last heartbeat.
+    static constexpr Milliseconds unfencedValidity { 2000 };
+    static constexpr Milliseconds heartbeatPeriod { 400 };
+    /// A leader that has not rewritten its heartbeat for this long counts as gone: three missed heartbeats.
+    static constexpr Milliseconds heartbeatTimeout { 1300 };
     static constexpr Milliseconds checkPeriod { 100 };
-    /// How long a daemon waits for larger ones to take a free part; longer than the watches by which they learn of it.
-    static constexpr Milliseconds largerFirst { 600 };
-    /// A daemon offers itself only once it has been in touch with the store for so long.
-    static constexpr Milliseconds steadyFor { 2000 };
-    /// No longer than the time between beats: whether the holder is silent is decided when a watch is answered.
+    /// How long a daemon waits for larger ones to acquire a free leadership; longer than the watches by which they
+    /// learn that it is free.
+    static constexpr Milliseconds largerDaemonHeadStart { 600 };
+    /// A daemon offers itself only once the store has answered it without failure for this long.
+    static constexpr Milliseconds steadyPeriod { 2000 };
+    /// No longer than the heartbeat period: whether the heartbeat has timed out is decided when a watch is answered.
     static constexpr Milliseconds watchWait { 400 };
 
-    /// `cpuMillis` is what this daemon has, in thousandths of a core.
+    /// `cpuMillis` is this daemon's processor time in thousandths of a core.
     Leadership(event_base& base, Store& store, DaemonId daemon, IncarnationId incarnation, std::int64_t cpuMillis,
         Handlers handlers)
         : store(store)
@@ -63,9 +65,9 @@
         , sizes(store, this->self.daemon, cpuMillis)
         , handlers(std::move(handlers))
         , mirror(base, store, StoreKeys::leadership, watchWait,
-              { [this](const KvListing& listing) { this->takeListing(listing); },
-                  [this](const KvListing& listing) { this->takeChanges(listing); },
-                  [this](KvFailure) { this->storeBackAt.reset(); } })
+              { [this](const KvListing& listing) { this->handleListing(listing); },
+                  [this](const KvListing& listing) { this->handleChanges(listing); },
+                  [this](KvFailure) { this->storeReachableSince.reset(); } })
         , timer(base, [this] { this->check(); })
     {
     }
@@ -76,26 +78,27 @@
         this->timer.schedule(checkPeriod);
     }
 
-    bool isHolder() const { return this->term.has_value(); }
+    bool isLeader() const { return this->term.has_value(); }
 
-    /// Whether orders may be given now.
+    /// Whether orders may be sent now.
     bool mayAct(Instant now) const { return this->term && !this->actUntil.hasPassed(now); }
 
-    /// Whether orders may be given that the next holder cannot fence: they have to arrive before it gives any.
-    bool mayGiveDuties(Instant now) const
+    /// Whether unfenced orders may be sent now. The next leader cannot fence them, so they have to arrive before it
+    /// sends any.
+    bool maySendUnfencedOrders(Instant now) const
     {
-        return this->mayAct(now) && this->actUntil.remaining(now) > validity - dutyValidity;
+        return this->mayAct(now) && this->actUntil.remaining(now) > validity - unfencedValidity;
     }
 
     const Term& currentTerm() const { return *this->term; }
 
-    /// The expectation that makes a commit fail once another daemon holds the key.
-    std::pair<std::string, std::int64_t> condition() const { return { StoreKeys::holder, this->term->fencingToken }; }
+    /// The expectation that makes a commit fail once another daemon has acquired the leader key.
+    std::pair<std::string, std::int64_t> condition() const { return { StoreKeys::leader, this->term->fencingToken }; }
 
-    /// A commit that was sent then, under the condition, has been done.
+    /// Extends the time in which this daemon acts: a commit under `condition()`, sent at `sentAt`, has succeeded.
     void confirm(Instant sentAt) { this->actUntil = std::max(this->actUntil, Deadline::after(sentAt, validity)); }
 
-    /// Something speaks for another holder: gives up the part.
+    /// Gives up the leadership, because there is evidence of another leader.
     void stepDown(std::string_view reason)
     {
         if (!this->term)
@@ -103,80 +106,80 @@
         writeLog(
             LogLevel::Warning, LogLine("leadership_lost").add("reason", reason).add("token", this->term->fencingToken));
         this->term.reset();
-        this->beatSeenAt = BootClock::now();
-        this->handlers.lost();
+        this->heartbeatSeenAt = BootClock::now();
+        this->handlers.onLost();
     }
 
-    /// Hands the part back, so that another daemon can take it at once, and takes it no more.
+    /// Hands over the leadership, so that another daemon can acquire it at once, and does not acquire it again.
     void resign()
     {
         this->isResigning = true;
         if (this->term)
-            this->handBack("shutting down");
+            this->handOver("shutting down");
     }
 
 private:
-    void handBack(std::string_view reason)
+    void handOver(std::string_view reason)
     {
         HolderRecord vacant { DaemonId(), this->self.incarnation, this->term->epoch };
-        KvCommit commit { { this->condition() }, { { StoreKeys::holder, vacant.encode() } }, {} };
+        KvCommit commit { { this->condition() }, { { StoreKeys::leader, vacant.encode() } }, {} };
         this->addOfferRemoval(commit);
         this->stepDown(reason);
-        // Until the store tells of it, so that the part is not taken back at once.
-        this->holder = vacant;
+        // Applied before the store reports the change, so that the leadership is not acquired again at once.
+        this->leader = vacant;
         this->store.commit(commit, [](auto result) {
             if (!result.has_value())
                 writeLog(LogLevel::Warning, LogLine("resignation_failed").add("reason", nameOf(result.error())));
         });
     }
 
-    void takeListing(const KvListing& listing)
+    void handleListing(const KvListing& listing)
     {
-        this->holder.reset();
-        this->holderRevision = 0;
+        this->leader.reset();
+        this->leaderRevision = 0;
         this->offeredBy = DaemonId();
-        this->takeChanges(listing);
+        this->handleChanges(listing);
     }
 
-    void takeChanges(const KvListing& listing)
+    void handleChanges(const KvListing& listing)
     {
         Instant now = BootClock::now();
-        if (!this->storeBackAt)
-            this->storeBackAt = now;
+        if (!this->storeReachableSince)
+            this->storeReachableSince = now;
         for (const auto& item : listing.items) {
-            if (item.key == StoreKeys::holder && item.revision >= this->holderRevision)
-                this->takeHolder(item);
-            else if (item.key == StoreKeys::beat && !item.isRemoved && item.revision > this->beatRevision)
-                this->takeBeat(item, now);
+            if (item.key == StoreKeys::leader && item.revision >= this->leaderRevision)
+                this->handleLeaderKey(item);
+            else if (item.key == StoreKeys::heartbeat && !item.isRemoved && item.revision > this->heartbeatRevision)
+                this->handleHeartbeat(item, now);
             else if (item.key == StoreKeys::offer)
                 this->offeredBy = item.isRemoved ? DaemonId() : DaemonId(item.value);
             else if (item.key.starts_with(StoreKeys::sizes))
-                this->sizes.take(item);
+                this->sizes.apply(item);
         }
         this->sizes.publish();
         this->considerHandingOver();
-        this->considerTaking(now);
+        this->considerAcquiring(now);
         this->considerOffering(now);
     }
 
-    /// Hands the part to a larger daemon that has offered itself.
+    /// Hands over the leadership to a larger daemon that has offered itself.
     void considerHandingOver()
     {
         if (this->term && this->sizes.of(this->offeredBy) > this->sizes.own())
-            this->handBack("a larger daemon has offered itself");
+            this->handOver("a larger daemon has offered itself");
     }
 
-    /// Offers to take the part over from a smaller holder.
+    /// Offers to replace a smaller leader.
     void considerOffering(Instant now)
     {
-        bool isSteady = this->storeBackAt && now - *this->storeBackAt >= steadyFor;
+        bool isSteady = this->storeReachableSince && now - *this->storeReachableSince >= steadyPeriod;
         if (this->term || this->isOffering || this->isResigning || !isSteady || !this->offeredBy.isEmpty())
             return;
-        std::int64_t held = this->holder ? this->sizes.of(this->holder->daemon) : 0;
-        if (held == 0 || held >= this->sizes.own())
+        std::int64_t leaderSize = this->leader ? this->sizes.of(this->leader->daemon) : 0;
+        if (leaderSize == 0 || leaderSize >= this->sizes.own())
             return;
         this->isOffering = true;
-        KvCommit commit { { { StoreKeys::holder, this->holderRevision }, { StoreKeys::offer, 0 } },
+        KvCommit commit { { { StoreKeys::leader, this->leaderRevision }, { StoreKeys::offer, 0 } },
             { { StoreKeys::offer, this->self.daemon.string() } }, {} };
         this->store.commit(commit, [this](auto result) {
             this->isOffering = false;
@@ -191,43 +194,44 @@
             commit.removals.emplace_back(StoreKeys::offer);
     }
 
-    void takeHolder(const KvItem& item)
+    void handleLeaderKey(const KvItem& item)
     {
-        this->holderRevision = item.isRemoved ? 0 : item.revision;
-        this->holder = item.isRemoved ? std::nullopt : HolderRecord::decode(item.value);
+        this->leaderRevision = item.isRemoved ? 0 : item.revision;
+        this->leader = item.isRemoved ? std::nullopt : HolderRecord::decode(item.value);
         if (this->term && item.revision > this->term->fencingToken)
             this->stepDown("another daemon holds the key");
-        // An answer to our own taking may have been lost.
-        bool isOurs = this->holder && this->holder->daemon == this->self.daemon
-            && this->holder->incarnation == this->self.incarnation;
-        if (isOurs && !this->term && !this->isResigning && item.revision > this->lastToken) {
-            this->earlierOrdersOver = Deadline::after(BootClock::now(), validity);
-            this->win(item.revision, BootClock::now());
+        // The answer to our own acquisition may have been lost.
+        bool isOwn = this->leader && this->leader->daemon == this->self.daemon
+            && this->leader->incarnation == this->self.incarnation;
+        if (isOwn && !this->term && !this->isResigning && item.revision > this->lastToken) {
+            this->earlierOrdersExpire = Deadline::after(BootClock::now(), validity);
+            this->becomeLeader(item.revision, BootClock::now());
         }
     }
 
-    void takeBeat(const KvItem& item, Instant now)
+    void handleHeartbeat(const KvItem& item, Instant now)
     {
-        this->beatRevision = item.revision;
-        this->beatSeenAt = now;
-        this->handlers.beatRead(item.value);
+        this->heartbeatRevision = item.revision;
+        this->heartbeatSeenAt = now;
+        this->handlers.onHeartbeat(item.value);
     }
 
     void check()
     {
         Instant now = BootClock::now();
-        if (this->term && this->nextBeat.hasPassed(now) && !this->isBeating)
-            this->sendBeat(now);
+        if (this->term && this->nextHeartbeat.hasPassed(now) && !this->isHeartbeatPending)
+            this->sendHeartbeat(now);
         this->timer.schedule(checkPeriod);
     }
 
-    void sendBeat(Instant now)
+    void sendHeartbeat(Instant now)
     {
-        this->nextBeat = Deadline::after(now, beatPeriod);
-        this->isBeating = true;
-        KvCommit commit { { this->condition() }, { { StoreKeys::beat, this->handlers.beatText() } }, {} };
+        this->nextHeartbeat = Deadline::after(now, heartbeatPeriod);
+        this->isHeartbeatPending = true;
+        KvCommit commit { { this->condition() }, { { StoreKeys::heartbeat, this->handlers.makeHeartbeatPayload() } },
+            {} };
         this->store.commit(commit, [this, now, token = this->term->fencingToken](auto result) {
-            this->isBeating = false;
+            this->isHeartbeatPending = false;
             if (!this->term || this->term->fencingToken != token || !result.has_value())
                 return;
             if (result.value().isCommitted)
@@ -237,76 +241,78 @@
         });
     }
 
-    /// Decides, right after the store has answered, whether the part is free.
-    void considerTaking(Instant now)
+    /// Acquires the leadership if it is free. Called right after the store has answered.
+    void considerAcquiring(Instant now)
     {
-        if (this->term || this->isTaking || this->isResigning || !this->mirror.isLoaded())
+        if (this->term || this->isAcquiring || this->isResigning || !this->mirror.isLoaded())
             return;
-        bool isVacant = !this->holder || this->holder->daemon.isEmpty();
-        bool wasOurs = this->holder && this->holder->daemon == this->self.daemon;
+        bool isVacant = !this->leader || this->leader->daemon.isEmpty();
+        bool wasOwn = this->leader && this->leader->daemon == this->self.daemon;
         if (!isVacant)
             this->vacantSince.reset();
-        if (isVacant || wasOurs) {
-            // The last holder has said that it is gone, or was an earlier process of this daemon.
+        if (isVacant || wasOwn) {
+            // The last leader has resigned, or was an earlier incarnation of this daemon.
             if (!this->vacantSince)
                 this->vacantSince = now;
-            bool goesFirst = wasOurs || this->offeredBy == this->self.daemon;
-            Milliseconds patience = this->sizes.isLargest() ? Milliseconds(0) : largerFirst;
-            // Before there was any holder, the daemons may not know of each other yet.
-            if (!this->holder)
-                patience += largerFirst;
-            if (goesFirst || now - *this->vacantSince >= patience)
-                this->take(Milliseconds(0), now);
+            bool isPreferred = wasOwn || this->offeredBy == this->self.daemon;
+            Milliseconds headStart = this->sizes.isLargest() ? Milliseconds(0) : largerDaemonHeadStart;
+            // Before there was any leader, the daemons may not know of each other yet.
+            if (!this->leader)
+                headStart += largerDaemonHeadStart;
+            if (isPreferred || now - *this->vacantSince >= headStart)
+                this->acquire(Milliseconds(0), now);
             return;
         }
-        Instant silentSince = std::max(this->beatSeenAt, *this->storeBackAt);
-        if (now - silentSince < (this->sizes.isLargest() ? silenceLimit : silenceLimit + largerFirst))
+        Instant timeoutStart = std::max(this->heartbeatSeenAt, *this->storeReachableSince);
+        if (now - timeoutStart
+            < (this->sizes.isLargest() ? heartbeatTimeout : heartbeatTimeout + largerDaemonHeadStart))
             return;
-        this->isTaking = true;
-        // The changes read last may be old if this process was paused, so the beat is read once more.
-        this->store.read(StoreKeys::beat, [this, seen = this->beatRevision](auto result) {
-            this->isTaking = false;
+        this->isAcquiring = true;
+        // The changes read last may be old if this process was paused, so the heartbeat is read once more.
+        this->store.read(StoreKeys::heartbeat, [this, seenRevision = this->heartbeatRevision](auto result) {
+            this->isAcquiring = false;
             if (!result.has_value())
                 return;
             const auto& item = result.value();
-            if (item && item->revision != seen) {
-                this->takeBeat(*item, BootClock::now());
+            if (item && item->revision != seenRevision) {
+                this->handleHeartbeat(*item, BootClock::now());
                 return;
             }
-            this->take(validity, BootClock::now());
+            this->acquire(validity, BootClock::now());
         });
     }
 
-    void take(Milliseconds earlierValidity, Instant now)
+    void acquire(Milliseconds earlierValidity, Instant now)
     {
-        this->isTaking = true;
-        this->earlierOrdersOver = Deadline::after(now, earlierValidity);
+        this->isAcquiring = true;
+        this->earlierOrdersExpire = Deadline::after(now, earlierValidity);
         HolderRecord record = this->self;
-        record.epoch = this->holder ? this->holder->epoch + 1 : 0;
-        KvCommit commit { { { StoreKeys::holder, this->holderRevision } },
-            { { StoreKeys::holder, record.encode() }, { StoreKeys::beat, this->handlers.beatText() } }, {} };
+        record.epoch = this->leader ? this->leader->epoch + 1 : 0;
+        KvCommit commit { { { StoreKeys::leader, this->leaderRevision } },
+            { { StoreKeys::leader, record.encode() }, { StoreKeys::heartbeat, this->handlers.makeHeartbeatPayload() } },
+            {} };
         this->addOfferRemoval(commit);
         this->store.commit(commit, [this, record, now](auto result) {
-            this->isTaking = false;
+            this->isAcquiring = false;
             if (!result.has_value() || !result.value().isCommitted || this->isResigning)
                 return;
-            this->holder = record;
-            this->holderRevision = result.value().revision;
-            this->win(result.value().revision, now);
+            this->leader = record;
+            this->leaderRevision = result.value().revision;
+            this->becomeLeader(result.value().revision, now);
         });
     }
 
-    void win(std::int64_t token, Instant confirmedAt)
+    void becomeLeader(std::int64_t token, Instant confirmedAt)
     {
         if (this->term)
             return;
         this->lastToken = token;
-        Deadline over = std::max(this->earlierOrdersOver, Deadline(confirmedAt));
-        this->term = Term { token, this->holder->epoch, over };
+        Deadline expiry = std::max(this->earlierOrdersExpire, Deadline(confirmedAt));
+        this->term = Term { token, this->leader->epoch, expiry };
         this->actUntil = Deadline::after(confirmedAt, validity);
-        this->nextBeat = Deadline::after(BootClock::now(), beatPeriod);
-        writeLog(LogLevel::Info, LogLine("leadership_won").add("token", token).add("epoch", this->holder->epoch));
-        this->handlers.won(*this->term);
+        this->nextHeartbeat = Deadline::after(BootClock::now(), heartbeatPeriod);
+        writeLog(LogLevel::Info, LogLine("leadership_won").add("token", token).add("epoch", this->leader->epoch));
+        this->handlers.onWon(*this->term);
     }
 
     Store& store;
@@ -315,23 +321,23 @@
     Handlers handlers;
     PrefixMirror<Store> mirror;
     Timer timer;
-    std::optional<HolderRecord> holder;
-    std::int64_t holderRevision = 0;
-    std::int64_t beatRevision = 0;
+    std::optional<HolderRecord> leader;
+    std::int64_t leaderRevision = 0;
+    std::int64_t heartbeatRevision = 0;
     std::int64_t lastToken = 0;
-    Instant beatSeenAt { Instant::min() };
-    /// Since when the store has answered without a failure between.
-    std::optional<Instant> storeBackAt;
-    /// Since when nobody has held the part, as far as this daemon has seen.
+    Instant heartbeatSeenAt { Instant::min() };
+    /// Since when the store has answered without failure.
+    std::optional<Instant> storeReachableSince;
+    /// Since when this daemon has seen that there is no leader.
     std::optional<Instant> vacantSince;
-    /// Who has offered to take the part over; empty if nobody has.
+    /// The daemon that has offered to replace the leader; empty if none has.
     DaemonId offeredBy;
     std::optional<Term> term;
     Deadline actUntil;
-    Deadline nextBeat;
-    Deadline earlierOrdersOver;
-    bool isBeating = false;
-    bool isTaking = false;
+    Deadline nextHeartbeat;
+    Deadline earlierOrdersExpire;
+    bool isHeartbeatPending = false;
+    bool isAcquiring = false;
     bool isOffering = false;
     bool isResigning = false;
 };
--- a/modules/coordinator/leadership/StoreKeys.h
+++ b/modules/coordinator/leadership/StoreKeys.h
@@ -6,22 +6,24 @@
 
 namespace Greengage {
 
-/// The keys that this product keeps in the shared store.
+/// Keys and key prefixes of the coordinator in the shared store.
 struct StoreKeys {
     static constexpr const char* leadership = "gg/lead/";
-    /// Who places tasks.
-    static constexpr const char* holder = "gg/lead/holder";
-    /// Rewritten by the holder while it is alive.
-    static constexpr const char* beat = "gg/lead/beat";
-    /// A larger daemon's offer to place tasks instead of the holder.
+    /// The leader: the daemon that places tasks.
+    static constexpr const char* leader = "gg/lead/holder";
+    /// The heartbeat, rewritten by the leader while it is alive.
+    static constexpr const char* heartbeat = "gg/lead/beat";
+    /// A larger daemon's offer to replace the leader.
     static constexpr const char* offer = "gg/lead/offer";
-    /// Below it, how much processor time each daemon has.
+    /// Prefix of the processor time that each daemon has.
     static constexpr const char* sizes = "gg/lead/size/";
-    /// The workers that may run tasks, listed or not.
-    static constexpr const char* crew = "gg/crew";
+    /// The worker roster: workers that may run tasks, whether the directory lists them or not.
+    static constexpr const char* workerRoster = "gg/crew";
+    /// Prefix of the progress of maintenance waves.
     static constexpr const char* waves = "gg/wave/";
-    /// Open jobs, with their cancellation and progress below them.
+    /// Prefix of open jobs, with their cancellation and progress below them.
     static constexpr const char* jobs = "gg/job/";
+    /// Prefix of jobs that have ended.
     static constexpr const char* ended = "gg/done/";
 
     static std::string size(const DaemonId& id) { return sizes + id.string(); }
--- a/modules/coordinator/placing/AdviceKeeper.h
+++ b/modules/coordinator/placing/AdviceManager.h
@@ -12,47 +12,47 @@
 
 namespace Greengage {
 
-/// Puts the questions of the advice system to the advice service, a few at a time, and takes the answers in.
-template <AdviceService Service> class AdviceKeeper {
+/// Sends the questions of the advice system to the advice service, a few at a time, and applies the answers.
+template <AdviceService Service> class AdviceManager {
 public:
-    /// `changed` is called when tickets have come.
-    AdviceKeeper(Service& service, JobBoard& board, std::function<void()> changed)
+    /// `onChange` is called after each answer or failure.
+    AdviceManager(Service& service, JobBoard& tables, std::function<void()> onChange)
         : service(service)
-        , system(board)
-        , changed(std::move(changed))
+        , system(tables)
+        , onChange(std::move(onChange))
         , alive(std::make_shared<bool>(true))
     {
     }
 
-    ~AdviceKeeper() { *this->alive = false; }
+    ~AdviceManager() { *this->alive = false; }
 
-    AdviceKeeper(const AdviceKeeper&) = delete;
-    AdviceKeeper& operator=(const AdviceKeeper&) = delete;
+    AdviceManager(const AdviceManager&) = delete;
+    AdviceManager& operator=(const AdviceManager&) = delete;
 
-    /// From now on answers that are still to come change nothing.
+    /// Ignores all answers that arrive from now on.
     void close() { *this->alive = false; }
 
     void tick(Instant now)
     {
-        while (this->open < questionsAtATime) {
+        while (this->openQuestions < maxOpenQuestions) {
             auto question = this->system.nextQuestion(now, unixMilliseconds());
             if (!question)
                 return;
-            this->open += 1;
+            this->openQuestions += 1;
             this->service.ask(*question, [this, alive = this->alive, question = *question](auto result) {
                 if (*alive)
-                    this->take(question, std::move(result));
+                    this->handleAnswer(question, std::move(result));
             });
         }
     }
 
 private:
-    /// The service answers one question of a daemon at a time; a second one waits there, so that it is never idle.
-    static constexpr int questionsAtATime = 2;
+    /// The service answers one question of a daemon at a time; a second one is queued there, so that it is never idle.
+    static constexpr int maxOpenQuestions = 2;
 
-    void take(const AdviceQuestion& question, Result<AdviceAnswer, AdviceFailure> result)
+    void handleAnswer(const AdviceQuestion& question, Result<AdviceAnswer, AdviceFailure> result)
     {
-        this->open -= 1;
+        this->openQuestions -= 1;
         Instant now = BootClock::now();
         if (result.has_value()) {
             this->system.take(question, result.value(), now);
@@ -69,14 +69,14 @@
                     .add("asked", question.workers.size())
                     .add("reason", nameOf(result.error())));
         }
-        this->changed();
+        this->onChange();
     }
 
     Service& service;
     AdviceSystem system;
-    std::function<void()> changed;
+    std::function<void()> onChange;
     std::shared_ptr<bool> alive;
-    int open = 0;
+    int openQuestions = 0;
 };
 
 } // namespace Greengage
--- a/modules/coordinator/placing/Coordinator.h
+++ b/modules/coordinator/placing/Coordinator.h
@@ -1,15 +1,15 @@
 #pragma once
 
-#include <coordinator/fleet/FleetDriver.h>
+#include <coordinator/fleet/FleetController.h>
 #include <coordinator/leadership/Leadership.h>
-#include <coordinator/placing/AdviceKeeper.h>
+#include <coordinator/placing/AdviceManager.h>
 #include <coordinator/placing/CoordinatorLimits.h>
-#include <coordinator/placing/CrewKeeper.h>
 #include <coordinator/placing/EndedJobCleaner.h>
-#include <coordinator/placing/JobIntake.h>
-#include <coordinator/placing/LeaseKeeper.h>
+#include <coordinator/placing/JobLoader.h>
+#include <coordinator/placing/LeaseManager.h>
 #include <coordinator/placing/OrderSender.h>
 #include <coordinator/placing/ProgressWriter.h>
+#include <coordinator/placing/WorkerRosterManager.h>
 #include <coordinator/store/PrefixMirror.h>
 #include <coordinator/workers/WorkerLink.h>
 #include <core/time/UnixClock.h>
@@ -27,9 +27,9 @@
 
 namespace Greengage {
 
-/// Places the tasks of all open jobs while this daemon holds the leadership: renews the workers' leases, takes in what
-/// they report, has it stored, and gives orders. Everything it needs after a change of holder is in the store and in
-/// the workers' reports.
+/// Places the tasks of all open jobs while this daemon is the leader: renews the workers' leases, applies their
+/// reports, stores the progress, and sends orders. Everything that a new leader needs is in the store and in the
+/// workers' reports.
 template <SharedStore Store, WorkerLink Link, MachineService Machines, AdviceService Advice> class Coordinator {
 public:
     Coordinator(event_base& base, Store& store, Link& link, Machines& machines, Advice& advice, DaemonId daemon,
@@ -41,8 +41,9 @@
         , advice(advice)
         , limits(limits)
         , leadership(base, store, std::move(daemon), std::move(incarnation), limits.cpuMillis,
-              { [this](const Term& term) { this->begin(term); }, [this] { this->end(); },
-                  [this] { return this->beatText(); }, [this](const std::string& text) { this->takeBeat(text); } })
+              { [this](const Term& term) { this->beginSession(term); }, [this] { this->endSession(); },
+                  [this] { return this->makeHeartbeatPayload(); },
+                  [this](const std::string& text) { this->handleHeartbeat(text); } })
         , timer(base, [this] { this->tick(); })
     {
     }
@@ -52,77 +53,77 @@
 
     void start() { this->leadership.start(); }
     void resign() { this->leadership.resign(); }
-    bool isPlacing() const { return this->leadership.isHolder(); }
+    bool isLeader() const { return this->leadership.isLeader(); }
 
-    /// The limits of the next session, but for this daemon's processor time.
+    /// Sets the limits from the next session on, except this daemon's processor time, which stays.
     void setLimits(const CoordinatorLimits& newLimits) { this->limits = newLimits; }
 
-    /// Puts a version of the operators' decisions in force.
+    /// Applies a version of the operators' policies from now on.
     void setPolicies(std::shared_ptr<const JobPolicies> newPolicies)
     {
         this->policies = std::move(newPolicies);
         if (this->session)
-            this->session->board.policies = this->policies;
-        this->hurry();
+            this->session->tables.policies = this->policies;
+        this->scheduleTick();
     }
 
-    /// The whole directory of workers; those that are not in it are not listed any more.
+    /// Applies a complete listing of the worker directory; workers that are not in it are no longer listed.
     void setWorkers(const std::vector<WorkerFacts>& facts)
     {
         if (!this->session)
             return;
-        for (auto& [id, worker] : this->session->board.workers)
+        for (auto& [id, worker] : this->session->tables.workers)
             worker.isListed = false;
         for (const auto& worker : facts)
             this->putWorker(worker);
         this->session->areWorkersListed = true;
     }
 
-    /// A worker's entry in the directory is new or has changed.
+    /// Applies a new or changed entry of the worker directory. An entry of an earlier incarnation is ignored.
     void putWorker(const WorkerFacts& facts)
     {
         if (!this->session)
             return;
-        auto [entry, isNew] = this->session->board.workers.try_emplace(facts.id);
+        auto [entry, isNew] = this->session->tables.workers.try_emplace(facts.id);
         WorkerRow& worker = entry->second;
         if (isNew)
             writeLog(LogLevel::Info,
                 LogLine("worker_listed").add("worker", facts.id.string()).add("pool", facts.pool.string()));
         else if (facts.bornUnixMs > worker.facts.bornUnixMs)
-            this->session->leases.noteRebirth(worker);
+            this->session->leases.handleRestart(worker);
         else if (facts.bornUnixMs < worker.facts.bornUnixMs)
             return;
         if (facts.draining && !worker.facts.draining)
             writeLog(LogLevel::Info, LogLine("worker_draining").add("worker", facts.id.string()));
         worker.facts = facts;
         worker.isListed = true;
-        this->hurry();
+        this->scheduleTick();
     }
 
-    /// A worker's entry is gone from the directory.
+    /// Applies the removal of an entry of the worker directory.
     void dropWorker(const WorkerId& id)
     {
         if (!this->session)
             return;
-        if (auto* worker = this->session->board.findWorker(id)) {
+        if (auto* worker = this->session->tables.findWorker(id)) {
             worker->isListed = false;
             writeLog(LogLevel::Info, LogLine("worker_unlisted").add("worker", id.string()));
         }
     }
 
-    /// Calls back when the directory of workers is needed, with true, or not any more, with false.
-    void onDirectoryWanted(std::function<void(bool)> callback) { this->directoryWanted = std::move(callback); }
+    /// Sets what is called with true when the worker directory is needed, and with false when it no longer is.
+    void onDirectoryWanted(std::function<void(bool)> callback) { this->onDirectoryWantedChange = std::move(callback); }
 
-    /// The waves that operators have ordered.
+    /// Sets the maintenance waves that operators have ordered, by number.
     void setWaves(std::map<std::int64_t, UpkeepWave> ordered) { this->waves = std::move(ordered); }
 
-    /// Adds to a commit what tells the operators how far a wave is.
-    void onWavePublished(typename FleetDriver<Store, Machines>::Publish callback)
+    /// Sets what adds the progress of a wave, for the operators, to a commit.
+    void onWavePublished(typename FleetController<Store, Machines>::Publish callback)
     {
         this->publishWave = std::move(callback);
     }
 
-    /// The number of accepted jobs of a queue that have not started, as the holder last said.
+    /// The number of accepted jobs of a queue that have not started, by the last heartbeat of the leader.
     std::uint64_t waitingJobs(const QueueId& queue) const
     {
         auto found = this->waitingByQueue.find(queue);
@@ -133,132 +134,137 @@
 
 private:
     static constexpr Milliseconds tickPeriod { 25 };
-    /// Delay from a report to the round of decisions that it causes, so that reports that come together share one.
-    static constexpr Milliseconds hurryDelay { 2 };
-    /// A round is followed by a rest of so many times its own length, which leaves three quarters of the processor to
-    /// callers, reports and renewals however large the tables are.
-    static constexpr int restPerRound = 3;
-    /// A process that was paused in a round need not rest for it.
-    static constexpr Milliseconds longestRest { 100 };
-    /// Ends are stored in rounds at least this far apart.
+    /// Delay from a report to the tick that it causes, so that reports that arrive together share one tick.
+    static constexpr Milliseconds tickDelay { 2 };
+    /// Each tick is followed by a rest of this many times its own length, which leaves three quarters of the processor
+    /// to callers, reports and renewals however large the job tables are.
+    static constexpr int restPerTick = 3;
+    /// Bounds the rest after a tick in which the process was paused.
+    static constexpr Milliseconds maxRest { 100 };
+    /// Least time between flushes of progress, unless a plan is to be stored.
     static constexpr Milliseconds flushPeriod { 40 };
     static constexpr Milliseconds jobsWatchWait { 2000 };
 
-    /// What exists only while this daemon holds the leadership.
+    /// What exists only while this daemon is the leader.
     struct Session {
         Session(Coordinator& owner, const Term& term)
-            : intake(board, [this, &owner](const JobRow& job) { owner.noteArrival(*this, job); })
+            : loader(tables, [this, &owner](const JobRow& job) { owner.recordArrival(*this, job); })
             , jobsMirror(owner.base, owner.store, StoreKeys::jobs, jobsWatchWait,
-                  { [this, &owner](const KvListing& listing) { owner.takeJobs(*this, listing); },
-                      [this, &owner](const KvListing& listing) { owner.takeJobs(*this, listing); }, [](KvFailure) {} })
+                  { [this, &owner](const KvListing& listing) { owner.handleJobListing(*this, listing); },
+                      [this, &owner](const KvListing& listing) { owner.handleJobListing(*this, listing); },
+                      [](KvFailure) {} })
             , writer(
-                  owner.store, owner.leadership, board, [this](JobRow& job) { this->orders.startPlanned(job); },
-                  [&owner] { owner.hurry(); })
-            , placement(board, owner.limits.farSlowdown)
-            , pacing(board)
-            , advice(owner.advice, board, [&owner] { owner.hurry(); })
-            , crew(owner.store, owner.leadership, board)
+                  owner.store, owner.leadership, tables, [this](JobRow& job) { this->orders.startPlanned(job); },
+                  [&owner] { owner.scheduleTick(); })
+            , placement(tables, owner.limits.farSlowdown)
+            , throttling(tables)
+            , advice(owner.advice, tables, [&owner] { owner.scheduleTick(); })
+            , workerRoster(owner.store, owner.leadership, tables)
             , cleaner(owner.store, owner.leadership, owner.limits.keepEndedFor, BootClock::now())
-            , fleet(owner.store, owner.machines, owner.leadership, board,
-                  Deadline::after(BootClock::now(), owner.limits.dutyTerm), owner.publishWave)
-            , leases(owner.link, board, term.fencingToken, owner.limits.leaseLength,
-                  { [this] { return this->isComplete(); }, [&owner] { owner.hurry(); }, [&owner] { owner.yield(); } })
-            , orders(owner.link, leases, board, term.fencingToken,
-                  { [&owner](Instant now) { return owner.leadership.mayAct(now); }, [&owner] { owner.hurry(); },
-                      [&owner] { owner.yield(); } })
+            , fleet(owner.store, owner.machines, owner.leadership, tables,
+                  Deadline::after(BootClock::now(), owner.limits.unfencedOrderDelay), owner.publishWave)
+            , leases(owner.link, tables, term.fencingToken, owner.limits.leaseLength,
+                  { [this] { return this->isComplete(); }, [&owner] { owner.scheduleTick(); },
+                      [&owner] { owner.handleFenced(); } })
+            , orders(owner.link, leases, tables, term.fencingToken,
+                  { [&owner](Instant now) { return owner.leadership.mayAct(now); }, [&owner] { owner.scheduleTick(); },
+                      [&owner] { owner.handleFenced(); } })
         {
         }
 
-        JobBoard board;
-        JobIntake intake;
+        JobBoard tables;
+        JobLoader loader;
         PrefixMirror<Store> jobsMirror;
         ProgressWriter<Store> writer;
         PlacementSystem placement;
-        PacingSystem pacing;
-        AdviceKeeper<Advice> advice;
-        CrewKeeper<Store> crew;
+        PacingSystem throttling;
+        AdviceManager<Advice> advice;
+        WorkerRosterManager<Store> workerRoster;
         EndedJobCleaner<Store> cleaner;
-        FleetDriver<Store, Machines> fleet;
-        LeaseKeeper<Link> leases;
+        FleetController<Store, Machines> fleet;
+        LeaseManager<Link> leases;
         OrderSender<Link> orders;
         bool areWorkersListed = false;
 
-        /// Calls under way may still be answered, when another session has begun.
+        /// Ignores all answers that arrive from now on, as they may after another session has begun.
         void close()
         {
             this->jobsMirror.close();
             this->writer.close();
             this->advice.close();
-            this->crew.close();
+            this->workerRoster.close();
             this->cleaner.close();
             this->fleet.close();
             this->leases.close();
             this->orders.close();
         }
 
-        /// Whether all that may run anywhere is known, but for workers that have not been reached.
-        bool isComplete() const { return this->intake.isLoaded() && this->areWorkersListed && this->crew.isLoaded(); }
+        /// Whether all attempts that may run are known, except those on workers that have not been reached.
+        bool isComplete() const
+        {
+            return this->loader.isLoaded() && this->areWorkersListed && this->workerRoster.isLoaded();
+        }
 
         Deadline nextFlush;
         Deadline nextPoolLog;
     };
 
-    void begin(const Term& term)
+    void beginSession(const Term& term)
     {
         this->session = std::make_unique<Session>(*this, term);
-        JobBoard& board = this->session->board;
-        board.policies = this->policies;
-        board.lowestRun = 1 + term.epoch * runsPerEpoch;
-        board.inheritedLeasesOver
-            = Deadline(term.earlierOrdersOver.at() + LeaseKeeper<Link>::longestLease(this->limits.leaseLength));
+        JobBoard& tables = this->session->tables;
+        tables.policies = this->policies;
+        tables.lowestRun = 1 + term.epoch * runsPerEpoch;
+        tables.inheritedLeasesOver
+            = Deadline(term.earlierOrdersExpire.at() + LeaseManager<Link>::longestLease(this->limits.leaseLength));
         this->session->jobsMirror.start();
-        if (this->directoryWanted)
-            this->directoryWanted(true);
+        if (this->onDirectoryWantedChange)
+            this->onDirectoryWantedChange(true);
         this->timer.schedule(Microseconds(0));
     }
 
-    /// A worker has seen a higher fencing token, so another daemon holds the leadership.
-    void yield() { this->leadership.stepDown("a worker knows a higher token"); }
+    /// Steps down, because a worker has seen a higher fencing token: another daemon is the leader.
+    void handleFenced() { this->leadership.stepDown("a worker knows a higher token"); }
 
-    void takeJobs(Session& current, const KvListing& listing)
+    void handleJobListing(Session& current, const KvListing& listing)
     {
-        current.intake.take(listing);
-        this->hurry();
+        current.loader.handleListing(listing);
+        this->scheduleTick();
     }
 
-    void noteArrival(Session& current, const JobRow& job)
+    void recordArrival(Session& current, const JobRow& job)
     {
-        auto queue = current.board.policies->queues.find(job.record.queue);
-        if (queue != current.board.policies->queues.end())
-            current.fleet.noteArrival(queue->second.pool, job.record.spec, BootClock::now());
+        auto queue = current.tables.policies->queues.find(job.record.queue);
+        if (queue != current.tables.policies->queues.end())
+            current.fleet.recordArrival(queue->second.pool, job.record.spec, BootClock::now());
     }
 
-    /// Attempt numbers of one holder; more starts of one task than any holder makes.
+    /// Attempt numbers reserved for each leader; more starts of one task than any leader makes.
     static constexpr std::uint32_t runsPerEpoch = 1000;
 
-    void end()
+    void endSession()
     {
         if (!this->session)
             return;
         this->session->close();
-        // The session is still on the stack of its own callbacks, so it is destroyed from the loop.
+        // The session may be on the stack of its own callbacks, so it is destroyed from the loop.
         this->retired.push_back(std::move(this->session));
-        if (this->directoryWanted)
-            this->directoryWanted(false);
+        if (this->onDirectoryWantedChange)
+            this->onDirectoryWantedChange(false);
         this->timer.schedule(Microseconds(0));
     }
 
-    /// Asks for a round of decisions soon.
-    void hurry()
+    /// Schedules a tick soon.
+    void scheduleTick()
     {
-        if (!this->session || this->isHurrying)
+        if (!this->session || this->isTickRequested)
             return;
-        this->isHurrying = true;
+        this->isTickRequested = true;
         if (!this->isDeciding)
-            this->scheduleRound(hurryDelay);
+            this->startTimer(tickDelay);
     }
 
-    void scheduleRound(Microseconds delay)
+    void startTimer(Microseconds delay)
     {
         this->timer.schedule(std::max(delay, this->restUntil.remaining(BootClock::now())));
     }
@@ -269,31 +275,31 @@
         if (!this->session)
             return;
         Instant now = BootClock::now();
-        this->isHurrying = false;
+        this->isTickRequested = false;
         this->isDeciding = true;
         this->decide(now);
         this->isDeciding = false;
         Instant done = BootClock::now();
-        this->restUntil = Deadline::after(done, std::min<Microseconds>(longestRest, (done - now) * restPerRound));
+        this->restUntil = Deadline::after(done, std::min<Microseconds>(maxRest, (done - now) * restPerTick));
         if (this->session)
-            this->scheduleRound(this->isHurrying ? hurryDelay : tickPeriod);
+            this->startTimer(this->isTickRequested ? tickDelay : tickPeriod);
     }
 
-    /// One round of decisions.
+    /// The decisions of one tick.
     void decide(Instant now)
     {
         if (this->leadership.mayAct(now)) {
             this->session->leases.tick(now);
-            this->session->crew.tick();
+            this->session->workerRoster.tick();
             this->session->cleaner.tick(now);
             if (this->session->isComplete()) {
-                this->session->intake.inheritPlacements(now);
+                this->session->loader.inheritPlacements(now);
                 this->session->fleet.tick(this->waves, now);
                 this->placeTasks(now);
                 this->session->advice.tick(now);
-                this->session->pacing.advance(now);
+                this->session->throttling.advance(now);
                 this->session->orders.orderStops(now);
-                this->session->orders.orderPaces();
+                this->session->orders.orderThrottles();
                 this->logPools(now);
             }
         }
@@ -303,20 +309,22 @@
         }
     }
 
-    /// Plans what can start. The orders go out once the plan is stored, so that the next holder knows of them.
+    /// Plans attempts of tasks that can start. The orders are sent once the plan is stored, so that the next leader
+    /// knows of them.
     void placeTasks(Instant now)
     {
         if (!this->session->placement.place(now, unixMilliseconds()).empty())
             this->session->nextFlush = Deadline();
     }
 
-    /// One line a pool, seldom: what it has, what is taken, and what waits.
+    /// Logs one line for each pool: its processor time and what long-running, all running and waiting tasks need of it,
+    /// in thousandths of a core.
     void logPools(Instant now)
     {
         if (!this->session->nextPoolLog.hasPassed(now))
             return;
         this->session->nextPoolLog = Deadline::after(now, poolLogPeriod);
-        for (const auto& [pool, load] : PoolLoad::measure(this->session->board, unixMilliseconds())) {
+        for (const auto& [pool, load] : PoolLoad::measure(this->session->tables, unixMilliseconds())) {
             writeLog(LogLevel::Info,
                 LogLine("pool_load")
                     .add("pool", pool.string())
@@ -331,13 +339,13 @@
 
     static constexpr Milliseconds poolLogPeriod { 1000 };
 
-    std::string beatText() const
+    std::string makeHeartbeatPayload() const
     {
-        // Until all jobs are known, what the last beat said is nearer to the truth than a count of the known ones.
+        // Until all jobs are loaded, the counts of the last heartbeat are more accurate than those of the loaded jobs.
         std::map<QueueId, std::uint64_t> counts(this->waitingByQueue.begin(), this->waitingByQueue.end());
         if (this->session && this->session->isComplete()) {
             counts.clear();
-            for (const auto& [id, job] : this->session->board.jobs) {
+            for (const auto& [id, job] : this->session->tables.jobs) {
                 if (!job.hasStarted && !job.hasEnded())
                     counts[job.record.queue] += 1;
             }
@@ -349,7 +357,7 @@
         return toCompactJson(value);
     }
 
-    void takeBeat(const std::string& text)
+    void handleHeartbeat(const std::string& text)
     {
         auto value = parseJsonObject(text);
         if (!value || !(*value)["waiting"].isObject()) {
@@ -373,14 +381,14 @@
     std::shared_ptr<const JobPolicies> policies = std::make_shared<JobPolicies>();
     std::unordered_map<QueueId, std::uint64_t> waitingByQueue;
     std::map<std::int64_t, UpkeepWave> waves;
-    std::function<void(bool)> directoryWanted;
-    typename FleetDriver<Store, Machines>::Publish publishWave = [](std::int64_t, bool, KvCommit&) {};
+    std::function<void(bool)> onDirectoryWantedChange;
+    typename FleetController<Store, Machines>::Publish publishWave = [](std::int64_t, bool, KvCommit&) {};
     Leadership<Store> leadership;
     std::unique_ptr<Session> session;
     std::vector<std::unique_ptr<Session>> retired;
     Timer timer;
     Deadline restUntil;
-    bool isHurrying = false;
+    bool isTickRequested = false;
     bool isDeciding = false;
 };
 
--- a/modules/coordinator/placing/EndedJob.h
+++ b/modules/coordinator/placing/EndedJob.h
@@ -9,7 +9,7 @@
 
 namespace Greengage {
 
-/// What stays stored of a job that has ended.
+/// The stored record of a job that has ended.
 struct EndedJob {
     JobState state = JobState::Completed;
     std::int64_t endedUnixMs = 0;
--- a/modules/coordinator/placing/EndedJobCleaner.h
+++ b/modules/coordinator/placing/EndedJobCleaner.h
@@ -9,18 +9,18 @@
 
 namespace Greengage {
 
-/// Removes the ends of jobs from the store once callers need not be able to ask for them any more.
+/// Removes the records of ended jobs from the store once their retention time has passed.
 template <SharedStore Store> class EndedJobCleaner {
 public:
-    /// The ends are read this often at most, since reading them all takes several calls.
-    static constexpr Milliseconds longestPeriod { 30'000 };
+    /// The longest period between listings of the ended jobs. A listing takes several calls.
+    static constexpr Milliseconds maxPeriod { 30'000 };
 
     EndedJobCleaner(Store& store, Leadership<Store>& leadership, Milliseconds keepFor, Instant now)
         : store(store)
         , leadership(leadership)
         , keepFor(keepFor)
-        , period(std::min(keepFor, longestPeriod))
-        , next(Deadline::after(now, this->period))
+        , period(std::min(keepFor, maxPeriod))
+        , nextListing(Deadline::after(now, this->period))
         , alive(std::make_shared<bool>(true))
     {
     }
@@ -30,16 +30,16 @@
     EndedJobCleaner(const EndedJobCleaner&) = delete;
     EndedJobCleaner& operator=(const EndedJobCleaner&) = delete;
 
-    /// From now on answers that are still to come change nothing.
+    /// Ignores all answers that arrive from now on.
     void close() { *this->alive = false; }
 
     void tick(Instant now)
     {
-        if (!this->next.hasPassed(now))
+        if (!this->nextListing.hasPassed(now))
             return;
-        this->next = Deadline::after(now, this->period);
+        this->nextListing = Deadline::after(now, this->period);
         this->store.list(StoreKeys::ended, [this, alive = this->alive](auto result) {
-            if (*alive && result.has_value() && this->leadership.isHolder())
+            if (*alive && result.has_value() && this->leadership.isLeader())
                 this->removeOld(result.value());
         });
     }
@@ -58,9 +58,9 @@
         }
         if (commit.removals.empty())
             return;
-        // There may be more, so the next look comes soon.
+        // There may be more, so the next tick lists again.
         if (commit.rows() == KvCommit::maxRows)
-            this->next = Deadline();
+            this->nextListing = Deadline();
         this->store.commit(std::move(commit), [](auto result) {
             if (!result.has_value())
                 writeLog(LogLevel::Warning, LogLine("ended_jobs_not_removed").add("reason", nameOf(result.error())));
@@ -71,7 +71,7 @@
     Leadership<Store>& leadership;
     Milliseconds keepFor;
     Milliseconds period;
-    Deadline next;
+    Deadline nextListing;
     std::shared_ptr<bool> alive;
 };
 
--- a/modules/coordinator/placing/JobIntake.cpp
+++ b/modules/coordinator/placing/JobLoader.cpp
@@ -1,10 +1,10 @@
-#include <coordinator/placing/JobIntake.h>
+#include <coordinator/placing/JobLoader.h>
 
 namespace Greengage {
 
 namespace {
 
-/// The job that a key belongs to, and the part of the job that it holds: empty for the job itself.
+/// The job that a key belongs to, and the suffix that names the part of the job: empty for the job itself.
 std::pair<JobId, std::string> splitKey(const std::string& key)
 {
     std::string rest = key.substr(std::string_view(StoreKeys::jobs).size());
@@ -16,15 +16,15 @@
 
 } // namespace
 
-void JobIntake::take(const KvListing& listing)
+void JobLoader::handleListing(const KvListing& listing)
 {
-    // Jobs come before what hangs on them, whatever the order of the keys.
+    // A job is added with its progress, and before its cancellation, whatever the order of the keys.
     std::map<JobId, JobProgress> progress;
     std::map<JobId, std::int64_t> progressRevisions;
     for (const auto& item : listing.items) {
         auto [job, part] = splitKey(item.key);
-        // What this daemon has written itself comes back too.
-        if (part != "progress" || item.isRemoved || this->board.jobs.contains(job))
+        // The watch also returns what this daemon has written itself.
+        if (part != "progress" || item.isRemoved || this->tables.jobs.contains(job))
             continue;
         if (auto decoded = this->progressCodec.decode(job, item.value)) {
             progress[job] = std::move(*decoded);
@@ -34,20 +34,20 @@
     for (const auto& item : listing.items) {
         auto [id, part] = splitKey(item.key);
         if (part.empty() && !item.isRemoved)
-            this->takeJob(id, item, progress[id], progressRevisions[id]);
+            this->addJob(id, item, progress[id], progressRevisions[id]);
     }
     for (const auto& item : listing.items) {
         auto [id, part] = splitKey(item.key);
         if (part == "cancel" && !item.isRemoved)
-            this->takeCancellation(id);
+            this->applyCancellation(id);
     }
     this->hasLoaded = true;
 }
 
-void JobIntake::takeJob(const JobId& id, const KvItem& item, const JobProgress& progress, std::int64_t progressRevision)
+void JobLoader::addJob(const JobId& id, const KvItem& item, const JobProgress& progress, std::int64_t progressRevision)
 {
-    JobBoard& board = this->board;
-    if (board.jobs.contains(id) || board.forgotten.contains(id))
+    JobBoard& tables = this->tables;
+    if (tables.jobs.contains(id) || tables.forgotten.contains(id))
         return;
     auto record = this->recordCodec.decode(item.value);
     if (!record || record->id != id) {
@@ -63,31 +63,31 @@
             .add("placed_tasks", progress.placements.size())
             .add("done_tasks", progress.done.size())
             .add("age_ms", unixMilliseconds() - record->receivedUnixMs));
-    board.addJob(std::move(*record), progress);
-    JobRow& job = board.jobs.at(id);
+    tables.addJob(std::move(*record), progress);
+    JobRow& job = tables.jobs.at(id);
     job.recordRevision = item.revision;
     job.progressRevision = progressRevision;
     if (!progress.placements.empty())
         this->inherited.emplace(id, progress.placements);
-    this->arrived(job);
+    this->onJobAdded(job);
 }
 
-void JobIntake::takeCancellation(const JobId& id)
+void JobLoader::applyCancellation(const JobId& id)
 {
-    JobBoard& board = this->board;
-    auto job = board.jobs.find(id);
-    if (job == board.jobs.end() || job->second.hasEnded())
+    JobBoard& tables = this->tables;
+    auto job = tables.jobs.find(id);
+    if (job == tables.jobs.end() || job->second.hasEnded())
         return;
     writeLog(
         LogLevel::Info, LogLine("job_cancelled").add("job", id.string()).add("active_tasks", job->second.activeTasks));
-    board.endJob(job->second, JobState::Cancelled);
+    tables.endJob(job->second, JobState::Cancelled);
 }
 
-void JobIntake::inheritPlacements(Instant now)
+void JobLoader::inheritPlacements(Instant now)
 {
     for (const auto& [id, placements] : this->inherited) {
-        if (auto job = this->board.jobs.find(id); job != this->board.jobs.end())
-            this->board.inherit(job->second, placements, now);
+        if (auto job = this->tables.jobs.find(id); job != this->tables.jobs.end())
+            this->tables.inherit(job->second, placements, now);
     }
     this->inherited.clear();
 }
--- a/modules/coordinator/placing/LeaseKeeper.h
+++ b/modules/coordinator/placing/LeaseManager.h
@@ -17,27 +17,27 @@
 
 namespace Greengage {
 
-/// Renews the workers' leases, takes in what they report, and gives up what ran on workers whose leases are over.
-template <WorkerLink Link> class LeaseKeeper {
+/// Renews the workers' leases, applies their reports, and releases the attempts of workers whose leases have expired.
+template <WorkerLink Link> class LeaseManager {
 public:
-    /// A worker's clock may be this much slower than ours, in hundredths, rounded up.
+    /// A worker's clock may be this much slower than ours, in percent, rounded up.
     static constexpr int workerClockSlackPercent = 3;
-    /// Covers the time that an order spends on the network.
+    /// Covers the time that an order takes on the network.
     static constexpr Milliseconds leaseMargin { 200 };
 
     struct Handlers {
-        /// Whether reports can be told from what is not wanted: all jobs and workers are known.
+        /// Whether all jobs and workers are known, so that orphaned attempts can be recognised in a report.
         std::function<bool()> isComplete;
-        /// The board has changed.
-        std::function<void()> changed;
+        /// The job tables have changed.
+        std::function<void()> onChange;
         /// A worker has seen a higher fencing token.
-        std::function<void()> fenced;
+        std::function<void()> onFenced;
     };
 
-    LeaseKeeper(Link& link, JobBoard& board, std::int64_t token, Milliseconds leaseLength, Handlers handlers)
+    LeaseManager(Link& link, JobBoard& tables, std::int64_t token, Milliseconds leaseLength, Handlers handlers)
         : link(link)
-        , board(board)
-        , reports(board)
+        , tables(tables)
+        , reports(tables)
         , token(token)
         , leaseLength(leaseLength)
         , handlers(std::move(handlers))
@@ -45,32 +45,33 @@
     {
     }
 
-    ~LeaseKeeper() { *this->alive = false; }
+    ~LeaseManager() { *this->alive = false; }
 
-    LeaseKeeper(const LeaseKeeper&) = delete;
-    LeaseKeeper& operator=(const LeaseKeeper&) = delete;
+    LeaseManager(const LeaseManager&) = delete;
+    LeaseManager& operator=(const LeaseManager&) = delete;
 
-    /// From now on answers that are still to come change nothing.
+    /// Ignores all answers that arrive from now on.
     void close() { *this->alive = false; }
 
     void tick(Instant now)
     {
         this->renewLeases(now);
         this->probeUnanswered(now);
-        this->clearSilentWorkers(now);
+        this->clearExpiredWorkers(now);
     }
 
-    /// How long what was ordered for a span may last by our clock.
+    /// The longest time that a lease of the given length can last on our clock.
     static Milliseconds longestLease(Milliseconds span)
     {
         return span + span * workerClockSlackPercent / 100 + leaseMargin;
     }
 
-    void noteRebirth(WorkerRow& worker)
+    /// Releases all attempts of a worker whose incarnation has ended.
+    void handleRestart(WorkerRow& worker)
     {
         writeLog(LogLevel::Warning,
             LogLine("worker_reborn").add("worker", worker.facts.id.string()).add("lost", worker.attempts.size()));
-        this->board.clearWorker(worker);
+        this->tables.clearWorker(worker);
         worker.leaseOver = Deadline();
     }
 
@@ -79,19 +80,20 @@
         return { worker.facts.id, worker.facts.address, worker.facts.port };
     }
 
-    /// The worker's clock now, by its latest report.
+    /// The worker's clock now in milliseconds, extrapolated from its latest report.
     std::int64_t clockOf(const WorkerRow& worker, Instant now) const
     {
         return worker.clockMs + std::chrono::duration_cast<Milliseconds>(now - worker.clockReadAt).count();
     }
 
+    /// Records that a lease of this length was granted at `now`.
     void extendLease(WorkerRow& worker, Instant now, Milliseconds length)
     {
-        auto over = Deadline::after(now, LeaseKeeper::longestLease(length));
-        worker.leaseOver = std::max(worker.leaseOver, over);
+        auto expiry = Deadline::after(now, LeaseManager::longestLease(length));
+        worker.leaseOver = std::max(worker.leaseOver, expiry);
     }
 
-    /// Asks a worker at once what it runs, beside the renewal that waits for an end.
+    /// Asks a worker for an immediate report, besides the renewal that waits for an end.
     void probe(WorkerRow& worker, Instant now)
     {
         Renewal& renewal = this->renewals[worker.facts.id];
@@ -106,32 +108,33 @@
                 if (!*alive)
                     return;
                 this->renewals[id].isProbing = false;
-                WorkerRow* row = this->board.findWorker(id);
+                WorkerRow* row = this->tables.findWorker(id);
                 if (!row)
                     return;
                 if (!result.has_value()) {
                     row->isSuspect = true;
                     return;
                 }
-                bool isSameLife = !result.value().bornUnixMs || result.value().bornUnixMs == row->facts.bornUnixMs;
-                if (!isSameLife || !row->isReached)
+                bool isSameIncarnation
+                    = !result.value().bornUnixMs || result.value().bornUnixMs == row->facts.bornUnixMs;
+                if (!isSameIncarnation || !row->isReached)
                     return;
                 this->logEvents(this->reports.apply(*row, result.value(), now, BootClock::now()));
-                this->handlers.changed();
+                this->handlers.onChange();
             });
     }
 
 private:
-    /// How long an answer to a renewal waits for an end; the longest that workers allow.
+    /// How long an answer to a renewal waits for an attempt to end; the longest that workers allow.
     static constexpr Milliseconds longestRenewalWait { 2000 };
-    /// A lease is renewed this often at least, so that several renewals in a row may fail.
+    /// Renewals in the length of a lease, at least, so that several in a row may fail.
     static constexpr int renewalsPerLease = 4;
     static constexpr Milliseconds firstRenewalRetry { 100 };
     static constexpr int retriesWithoutPause = 2;
     static constexpr Milliseconds longestRenewalRetry { 1000 };
-    /// The most time that a reported end waits to be stored before the lease is renewed anyway.
+    /// The longest time that a renewal waits for a reported end to be stored.
     static constexpr Milliseconds longestRecordWait { 300 };
-    /// When a worker's report is asked for again while jobs and workers are still being read.
+    /// Delay before a report is requested again while jobs and workers are still being loaded.
     static constexpr Milliseconds incompleteRetry { 25 };
 
     struct Renewal {
@@ -143,7 +146,7 @@
 
     void renewLeases(Instant now)
     {
-        for (auto& [id, worker] : this->board.workers) {
+        for (auto& [id, worker] : this->tables.workers) {
             Renewal& renewal = this->renewals[id];
             bool hasUnrecorded = worker.endsRecorded < worker.endsSeen;
             if (renewal.isUnderWay || (!renewal.next.hasPassed(now)))
@@ -159,7 +162,7 @@
         RenewLease order;
         order.fencingToken = this->token;
         order.recordedEnds = worker.endsRecorded;
-        // A worker that does not answer gets no longer lease, so that what it runs is given up in bounded time.
+        // The lease of an unresponsive worker is not extended, so that its attempts are released in bounded time.
         if (worker.isReached && !worker.isSuspect) {
             order.leaseUntilClockMs = this->clockOf(worker, now) + this->leaseLength.count();
             this->extendLease(worker, now, this->leaseLength);
@@ -169,39 +172,39 @@
         this->link.renew(
             this->endpointOf(worker), order, [this, alive = this->alive, id = worker.facts.id, now](auto result) {
                 if (*alive)
-                    this->takeReport(id, now, std::move(result));
+                    this->handleReport(id, now, std::move(result));
             });
     }
 
-    /// Settles orders that got no answer as soon as they can no longer be carried out.
+    /// Probes workers with unanswered start orders that have expired, to learn whether the attempts run.
     void probeUnanswered(Instant now)
     {
-        for (auto& [id, worker] : this->board.workers) {
-            bool isOpen = worker.isReached && !worker.isSuspect
+        for (auto& [id, worker] : this->tables.workers) {
+            bool hasExpiredOrder = worker.isReached && !worker.isSuspect
                 && std::any_of(worker.attempts.begin(), worker.attempts.end(), [now](const auto& entry) {
                        return entry.second.phase == AttemptPhase::Unanswered
                            && entry.second.orderExpires.hasPassed(now);
                    });
-            if (isOpen)
+            if (hasExpiredOrder)
                 this->probe(worker, now);
         }
     }
 
-    void takeReport(const WorkerId& id, Instant sentAt, Result<WorkerReport, WorkerFailure> result)
+    void handleReport(const WorkerId& id, Instant sentAt, Result<WorkerReport, WorkerFailure> result)
     {
         Renewal& renewal = this->renewals[id];
         renewal.isUnderWay = false;
         if (!this->handlers.isComplete()) {
-            // Without the jobs, what runs could not be told from what is not wanted.
+            // Before all jobs and workers are loaded, attempts of jobs that are not loaded yet would look orphaned.
             renewal.next = Deadline::after(BootClock::now(), incompleteRetry);
             return;
         }
-        WorkerRow* worker = this->board.findWorker(id);
+        WorkerRow* worker = this->tables.findWorker(id);
         if (!worker)
             return;
         Instant now = BootClock::now();
         if (!result.has_value()) {
-            this->takeRenewalFailure(*worker, renewal, result.error(), now);
+            this->handleRenewalFailure(*worker, renewal, result.error(), now);
             return;
         }
         const WorkerReport& report = result.value();
@@ -209,7 +212,7 @@
             return;
         if (report.bornUnixMs > worker->facts.bornUnixMs) {
             if (worker->facts.bornUnixMs)
-                this->noteRebirth(*worker);
+                this->handleRestart(*worker);
             worker->facts.bornUnixMs = report.bornUnixMs;
         }
         if (renewal.failures)
@@ -218,10 +221,10 @@
         renewal.next = Deadline();
         worker->isSuspect = false;
         this->logEvents(this->reports.apply(*worker, report, sentAt, now));
-        this->handlers.changed();
+        this->handlers.onChange();
     }
 
-    void takeRenewalFailure(WorkerRow& worker, Renewal& renewal, WorkerFailure failure, Instant now)
+    void handleRenewalFailure(WorkerRow& worker, Renewal& renewal, WorkerFailure failure, Instant now)
     {
         if (!renewal.failures)
             writeLog(LogLevel::Warning,
@@ -229,7 +232,7 @@
                     .add("worker", worker.facts.id.string())
                     .add("reason", nameOf(failure))
                     .add("attempts", worker.attempts.size()));
-        // The first failures may be lost answers, and the lease is running out.
+        // The first failures may be lost answers, and the lease is about to expire.
         Milliseconds pause { 0 };
         if (renewal.failures >= retriesWithoutPause)
             pause = std::min(
@@ -238,29 +241,29 @@
         renewal.next = Deadline::after(now, pause);
         worker.isSuspect = true;
         if (failure == WorkerFailure::Fenced)
-            this->handlers.fenced();
+            this->handlers.onFenced();
         else if (failure == WorkerFailure::OtherLife)
-            this->noteRebirth(worker);
+            this->handleRestart(worker);
     }
 
-    /// Gives up what ran on workers whose leases are over for certain.
-    void clearSilentWorkers(Instant now)
+    /// Releases the attempts of unresponsive workers whose leases have certainly expired.
+    void clearExpiredWorkers(Instant now)
     {
-        JobBoard& board = this->board;
-        for (auto entry = board.workers.begin(); entry != board.workers.end();) {
+        JobBoard& tables = this->tables;
+        for (auto entry = tables.workers.begin(); entry != tables.workers.end();) {
             WorkerRow& worker = entry->second;
-            bool isOver = worker.isSuspect && worker.leaseOver.hasPassed(now)
-                && (worker.isReached || board.inheritedLeasesOver.hasPassed(now));
-            if (isOver && !(worker.attempts.empty() && worker.strays.empty())) {
+            bool isExpired = worker.isSuspect && worker.leaseOver.hasPassed(now)
+                && (worker.isReached || tables.inheritedLeasesOver.hasPassed(now));
+            if (isExpired && !(worker.attempts.empty() && worker.strays.empty())) {
                 writeLog(LogLevel::Warning,
                     LogLine("worker_lease_over")
                         .add("worker", worker.facts.id.string())
                         .add("lost", worker.attempts.size()));
-                board.clearWorker(worker);
+                tables.clearWorker(worker);
             }
-            if (isOver && !worker.isListed && !this->renewals[entry->first].isUnderWay) {
+            if (isExpired && !worker.isListed && !this->renewals[entry->first].isUnderWay) {
                 this->renewals.erase(entry->first);
-                entry = board.workers.erase(entry);
+                entry = tables.workers.erase(entry);
             } else
                 ++entry;
         }
@@ -279,7 +282,7 @@
     }
 
     Link& link;
-    JobBoard& board;
+    JobBoard& tables;
     ReportSystem reports;
     std::int64_t token;
     Milliseconds leaseLength;
--- a/modules/coordinator/placing/OrderSender.h
+++ b/modules/coordinator/placing/OrderSender.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <coordinator/placing/LeaseKeeper.h>
+#include <coordinator/placing/LeaseManager.h>
 #include <coordinator/workers/WorkerLink.h>
 #include <core/log/Log.h>
 #include <core/log/LogLine.h>
@@ -17,22 +17,22 @@
 
 namespace Greengage {
 
-/// Sends the orders that the board calls for, to start and to stop attempts, and takes in what comes of them.
+/// Sends the orders that the job tables call for, to start, stop and throttle attempts, and applies their results.
 template <WorkerLink Link> class OrderSender {
 public:
     struct Handlers {
-        /// Whether orders may be given now.
+        /// Whether orders may be sent now.
         std::function<bool(Instant)> mayAct;
-        /// The board has changed.
-        std::function<void()> changed;
+        /// The job tables have changed.
+        std::function<void()> onChange;
         /// A worker has seen a higher fencing token.
-        std::function<void()> fenced;
+        std::function<void()> onFenced;
     };
 
-    OrderSender(Link& link, LeaseKeeper<Link>& leases, JobBoard& board, std::int64_t token, Handlers handlers)
+    OrderSender(Link& link, LeaseManager<Link>& leases, JobBoard& tables, std::int64_t token, Handlers handlers)
         : link(link)
         , leases(leases)
-        , board(board)
+        , tables(tables)
         , token(token)
         , handlers(std::move(handlers))
         , alive(std::make_shared<bool>(true))
@@ -44,19 +44,19 @@
     OrderSender(const OrderSender&) = delete;
     OrderSender& operator=(const OrderSender&) = delete;
 
-    /// From now on answers that are still to come change nothing.
+    /// Ignores all answers that arrive from now on.
     void close() { *this->alive = false; }
 
-    /// The job's plan is stored: sends the orders in it.
+    /// Sends the start orders of a job's plan, which has just been stored.
     void startPlanned(JobRow& job)
     {
         Instant now = BootClock::now();
         if (job.hasEnded())
             return;
         std::vector<StartOrder> orders;
-        // A gang that cannot start whole does not start at all.
+        // A gang that cannot start completely does not start at all.
         std::set<std::pair<std::uint32_t, std::uint32_t>> brokenGangs;
-        this->board.forEachAttempt(job, [&](WorkerRow& worker, const Attempt& attempt) {
+        this->tables.forEachAttempt(job, [&](WorkerRow& worker, const Attempt& attempt) {
             if (attempt.phase != AttemptPhase::Recording)
                 return;
             orders.push_back({ worker.facts.id, attempt.task, attempt.run });
@@ -64,44 +64,45 @@
                 brokenGangs.emplace(attempt.task.occurrence, attempt.task.step);
         });
         for (const auto& order : orders) {
-            WorkerRow& worker = this->board.workers.at(order.worker);
+            WorkerRow& worker = this->tables.workers.at(order.worker);
             if (this->maySend(worker, now) && !brokenGangs.contains({ order.task.occurrence, order.task.step }))
                 this->start(order, now);
             else
-                this->board.releaseAttempt(worker, order.task);
+                this->tables.releaseAttempt(worker, order.task);
         }
     }
 
+    /// Orders attempts to stop, orphaned ones included, and repeats orders that had no effect.
     void orderStops(Instant now)
     {
-        for (auto& [id, worker] : this->board.workers) {
+        for (auto& [id, worker] : this->tables.workers) {
             for (auto& [task, attempt] : worker.attempts)
                 this->orderStop(worker, attempt, now);
-            for (auto& [key, stray] : worker.strays)
-                this->orderStop(worker, stray, now);
+            for (auto& [key, orphan] : worker.strays)
+                this->orderStop(worker, orphan, now);
         }
     }
 
-    /// Orders the pace that filling attempts should have, where it is another one.
-    void orderPaces()
+    /// Throttles best-effort attempts whose speed percent is not the wanted one.
+    void orderThrottles()
     {
-        for (auto& [id, worker] : this->board.workers) {
+        for (auto& [id, worker] : this->tables.workers) {
             if (!worker.fillingCount)
                 continue;
             for (auto& [task, attempt] : worker.attempts) {
-                bool isWanted = attempt.phase == AttemptPhase::Running && attempt.wantedPace != attempt.pacePercent;
-                if (attempt.fills && isWanted && !attempt.paceUnderWay)
-                    this->orderPace(worker, attempt);
+                bool needsChange = attempt.phase == AttemptPhase::Running && attempt.wantedPace != attempt.pacePercent;
+                if (attempt.fills && needsChange && !attempt.paceUnderWay)
+                    this->orderThrottle(worker, attempt);
             }
         }
     }
 
 private:
-    /// A worker that refused an order, or left one unanswered, gets no other one for so long.
+    /// A worker that refused a start order, or left one unanswered, gets no other one for this long.
     static constexpr Milliseconds refusalPause { 300 };
     static constexpr Milliseconds stopRetry { 300 };
-    /// A stop that was taken is not repeated for so long; the end is listed within the workers' limit.
-    static constexpr Milliseconds stopSettles { 2000 };
+    /// An accepted stop order is not repeated for this long; the worker reports the end within its own limit for stops.
+    static constexpr Milliseconds stopEffectPeriod { 2000 };
 
     bool maySend(const WorkerRow& worker, Instant now) const
     {
@@ -110,19 +111,19 @@
 
     void start(const StartOrder& order, Instant now)
     {
-        JobBoard& board = this->board;
-        WorkerRow& worker = board.workers.at(order.worker);
+        JobBoard& tables = this->tables;
+        WorkerRow& worker = tables.workers.at(order.worker);
         Attempt& attempt = worker.attempts.at(order.task);
         attempt.phase = AttemptPhase::Ordered;
-        board.noteStarted(board.jobs.at(order.task.job));
+        tables.noteStarted(tables.jobs.at(order.task.job));
         attempt.orderedAt = now;
         attempt.confirmedAt = now;
         constexpr auto validFor = PlacementSystem::orderValidFor;
-        attempt.orderExpires = Deadline::after(now, LeaseKeeper<Link>::longestLease(validFor));
+        attempt.orderExpires = Deadline::after(now, LeaseManager<Link>::longestLease(validFor));
         StartAttempt start;
         start.task = order.task;
         start.run = order.run;
-        start.payload = board.jobs.at(order.task.job).record.spec.payload;
+        start.payload = tables.jobs.at(order.task.job).record.spec.payload;
         start.validUntilClockMs = this->leases.clockOf(worker, now) + PlacementSystem::orderValidFor.count();
         start.fencingToken = this->token;
         start.checkpoint = attempt.checkpoint;
@@ -133,19 +134,19 @@
                 .add("task", order.task.text())
                 .add("run", order.run)
                 .add("worker", order.worker.string())
-                .add("policies", board.policies->version)
+                .add("policies", tables.policies->version)
                 .add("report_age_ms", std::chrono::duration_cast<Milliseconds>(now - worker.lastReport).count()));
         this->link.start(
             this->leases.endpointOf(worker), start, [this, alive = this->alive, order](StartOutcome outcome) {
                 if (*alive)
-                    this->takeStartOutcome(order, outcome);
+                    this->handleStartOutcome(order, outcome);
             });
     }
 
-    void takeStartOutcome(const StartOrder& order, StartOutcome outcome)
+    void handleStartOutcome(const StartOrder& order, StartOutcome outcome)
     {
-        JobBoard& board = this->board;
-        WorkerRow* worker = board.findWorker(order.worker);
+        JobBoard& tables = this->tables;
+        WorkerRow* worker = tables.findWorker(order.worker);
         if (!worker)
             return;
         auto found = worker->attempts.find(order.task);
@@ -174,19 +175,19 @@
             return;
         }
         if (outcome == StartOutcome::Fenced) {
-            this->handlers.fenced();
+            this->handlers.onFenced();
             return;
         }
-        bool isRefusalOfTheWorker = outcome != StartOutcome::NotSent && outcome != StartOutcome::Outdated
+        bool isRefusedByWorker = outcome != StartOutcome::NotSent && outcome != StartOutcome::Outdated
             && outcome != StartOutcome::NoTicket;
         if (outcome == StartOutcome::NoTicket)
-            board.dropTicket(order.task, order.worker);
-        if (isRefusalOfTheWorker)
+            tables.dropTicket(order.task, order.worker);
+        if (isRefusedByWorker)
             worker->setAsideUntil = std::max(worker->setAsideUntil, Deadline::after(now, refusalPause));
         if (outcome == StartOutcome::NotSent)
             worker->isSuspect = true;
-        board.releaseAttempt(*worker, order.task);
-        this->handlers.changed();
+        tables.releaseAttempt(*worker, order.task);
+        this->handlers.onChange();
     }
 
     void orderStop(WorkerRow& worker, Attempt& attempt, Instant now)
@@ -201,13 +202,13 @@
                 .add("run", attempt.run)
                 .add("worker", worker.facts.id.string()));
         this->link.stop(this->leases.endpointOf(worker), { attempt.task, attempt.run, this->token },
-            [this, alive = this->alive, id = worker.facts.id, task = attempt.task, run = attempt.run](bool isTaken) {
+            [this, alive = this->alive, id = worker.facts.id, task = attempt.task, run = attempt.run](bool isAccepted) {
                 if (*alive)
-                    this->takeStopAnswer(id, task, run, isTaken);
+                    this->handleStopAnswer(id, task, run, isAccepted);
             });
     }
 
-    void orderPace(WorkerRow& worker, Attempt& attempt)
+    void orderThrottle(WorkerRow& worker, Attempt& attempt)
     {
         attempt.paceUnderWay = true;
         writeLog(LogLevel::Info,
@@ -218,50 +219,50 @@
                 .add("percent", attempt.wantedPace));
         this->link.pace(this->leases.endpointOf(worker), { attempt.task, attempt.run, attempt.wantedPace, this->token },
             [this, alive = this->alive, id = worker.facts.id, task = attempt.task, run = attempt.run,
-                percent = attempt.wantedPace](bool isTaken) {
+                percent = attempt.wantedPace](bool isAccepted) {
                 if (*alive)
-                    this->takePaceAnswer(id, task, run, isTaken ? std::optional(percent) : std::nullopt);
+                    this->handleThrottleAnswer(id, task, run, isAccepted ? std::optional(percent) : std::nullopt);
             });
     }
 
-    /// `taken` is the pace that the attempt has from now on; nothing if the order has to be repeated.
-    void takePaceAnswer(const WorkerId& id, const TaskName& task, std::uint32_t run, std::optional<int> taken)
+    /// `accepted` is the speed percent of the attempt from now on; nothing if the order has to be repeated.
+    void handleThrottleAnswer(const WorkerId& id, const TaskName& task, std::uint32_t run, std::optional<int> accepted)
     {
-        WorkerRow* worker = this->board.findWorker(id);
+        WorkerRow* worker = this->tables.findWorker(id);
         if (!worker)
             return;
         auto found = worker->attempts.find(task);
         if (found == worker->attempts.end() || found->second.run != run)
             return;
         found->second.paceUnderWay = false;
-        if (taken)
-            found->second.pacePercent = *taken;
+        if (accepted)
+            found->second.pacePercent = *accepted;
     }
 
-    void takeStopAnswer(const WorkerId& id, const TaskName& task, std::uint32_t run, bool isTaken)
+    void handleStopAnswer(const WorkerId& id, const TaskName& task, std::uint32_t run, bool isAccepted)
     {
-        WorkerRow* worker = this->board.findWorker(id);
+        WorkerRow* worker = this->tables.findWorker(id);
         if (!worker)
             return;
         Attempt* attempt = nullptr;
         if (auto found = worker->attempts.find(task); found != worker->attempts.end() && found->second.run == run)
             attempt = &found->second;
-        else if (auto stray = worker->strays.find({ task, run }); stray != worker->strays.end())
-            attempt = &stray->second;
+        else if (auto orphan = worker->strays.find({ task, run }); orphan != worker->strays.end())
+            attempt = &orphan->second;
         if (!attempt)
             return;
         attempt->stopUnderWay = false;
-        if (!isTaken)
+        if (!isAccepted)
             return;
-        // From now on the worker refuses a start that is still on its way.
+        // From now on the worker refuses a start order that arrives late.
         attempt->isAnswered = true;
         attempt->confirmedAt = BootClock::now();
-        attempt->nextStop = Deadline::after(BootClock::now(), stopSettles);
+        attempt->nextStop = Deadline::after(BootClock::now(), stopEffectPeriod);
     }
 
     Link& link;
-    LeaseKeeper<Link>& leases;
-    JobBoard& board;
+    LeaseManager<Link>& leases;
+    JobBoard& tables;
     std::int64_t token;
     Handlers handlers;
     std::shared_ptr<bool> alive;
--- a/modules/coordinator/placing/ProgressWriter.h
+++ b/modules/coordinator/placing/ProgressWriter.h
@@ -13,19 +13,19 @@
 
 namespace Greengage {
 
-/// Stores what the board knows and the store does not: progress of open jobs, and jobs that have ended. Writes go out
-/// in groups, one after the other, under the condition that this daemon still holds the leadership. Workers may forget
-/// their ends only once all that was known when a round began is stored.
+/// Stores what the job tables hold and the store does not: progress of open jobs, and jobs that have ended. Commits are
+/// sent one after the other, under the condition that this daemon is still the leader. Workers may forget the ends that
+/// they reported only once a flush that began after the report is complete.
 template <SharedStore Store> class ProgressWriter {
 public:
-    /// `stored` is told each job whose progress has been stored, `recorded` that a round of writes is over.
-    ProgressWriter(Store& store, Leadership<Store>& leadership, JobBoard& board, std::function<void(JobRow&)> stored,
-        std::function<void()> recorded)
+    /// `onStored` is called with each open job whose progress has been stored, `onFlushed` when a flush is complete.
+    ProgressWriter(Store& store, Leadership<Store>& leadership, JobBoard& tables, std::function<void(JobRow&)> onStored,
+        std::function<void()> onFlushed)
         : store(store)
         , leadership(leadership)
-        , board(board)
-        , stored(std::move(stored))
-        , recorded(std::move(recorded))
+        , tables(tables)
+        , onStored(std::move(onStored))
+        , onFlushed(std::move(onFlushed))
         , alive(std::make_shared<bool>(true))
     {
     }
@@ -35,22 +35,22 @@
     ProgressWriter(const ProgressWriter&) = delete;
     ProgressWriter& operator=(const ProgressWriter&) = delete;
 
-    /// From now on answers that are still to come change nothing.
+    /// Ignores all answers that arrive from now on.
     void close() { *this->alive = false; }
 
-    /// Begins a round of writes. If one is under way, another one follows it.
+    /// Stores all unrecorded jobs. If a flush is under way, another one follows it.
     void flush()
     {
         if (this->isUnderWay) {
-            this->isWantedAgain = true;
+            this->isFlushPending = true;
             return;
         }
         this->isUnderWay = true;
-        this->isWantedAgain = false;
-        this->endsAtStart.clear();
-        for (const auto& [id, worker] : this->board.workers)
-            this->endsAtStart.emplace(id, worker.endsSeen);
-        this->queue.assign(this->board.unrecorded.begin(), this->board.unrecorded.end());
+        this->isFlushPending = false;
+        this->endsAtFlushStart.clear();
+        for (const auto& [id, worker] : this->tables.workers)
+            this->endsAtFlushStart.emplace(id, worker.endsSeen);
+        this->queue.assign(this->tables.unrecorded.begin(), this->tables.unrecorded.end());
         this->writeNext();
     }
 
@@ -65,37 +65,37 @@
         KvCommit commit;
         commit.expected.push_back(this->leadership.condition());
         std::vector<Write> writes;
-        while (!this->queue.empty() && commit.rows() + rowsOfOneJob <= KvCommit::maxRows) {
+        while (!this->queue.empty() && commit.rows() + maxRowsPerJob <= KvCommit::maxRows) {
             this->add(commit, writes, this->queue.front());
             this->queue.pop_front();
         }
         if (writes.empty()) {
-            this->finishRound();
+            this->finishFlush();
             return;
         }
         Instant sentAt = BootClock::now();
         this->store.commit(
             std::move(commit), [this, alive = this->alive, writes = std::move(writes), sentAt](auto result) {
                 if (*alive)
-                    this->take(writes, sentAt, std::move(result));
+                    this->handleResult(writes, sentAt, std::move(result));
             });
     }
 
     /// Expectation, put and up to three removals.
-    static constexpr std::size_t rowsOfOneJob = 5;
+    static constexpr std::size_t maxRowsPerJob = 5;
 
     void add(KvCommit& commit, std::vector<Write>& writes, const JobId& id)
     {
-        auto found = this->board.jobs.find(id);
-        if (found == this->board.jobs.end()) {
-            this->board.unrecorded.erase(id);
+        auto found = this->tables.jobs.find(id);
+        if (found == this->tables.jobs.end()) {
+            this->tables.unrecorded.erase(id);
             return;
         }
         JobRow& job = found->second;
-        this->board.unrecorded.erase(id);
+        this->tables.unrecorded.erase(id);
         if (!job.hasEnded()) {
             commit.expected.emplace_back(StoreKeys::progress(id), job.progressRevision);
-            commit.puts.emplace_back(StoreKeys::progress(id), this->progressCodec.encode(this->board.progressOf(job)));
+            commit.puts.emplace_back(StoreKeys::progress(id), this->progressCodec.encode(this->tables.progressOf(job)));
             this->markRecording(job);
             writes.push_back({ id, false });
             return;
@@ -112,15 +112,15 @@
 
     void markRecording(JobRow& job)
     {
-        this->board.forEachAttempt(job, [](WorkerRow&, Attempt& attempt) {
+        this->tables.forEachAttempt(job, [](WorkerRow&, Attempt& attempt) {
             if (attempt.phase == AttemptPhase::Planned)
                 attempt.phase = AttemptPhase::Recording;
         });
     }
 
-    void take(const std::vector<Write>& writes, Instant sentAt, Result<KvCommitResult, KvFailure> result)
+    void handleResult(const std::vector<Write>& writes, Instant sentAt, Result<KvCommitResult, KvFailure> result)
     {
-        if (!this->leadership.isHolder()) {
+        if (!this->leadership.isLeader()) {
             this->isUnderWay = false;
             return;
         }
@@ -131,36 +131,36 @@
             return;
         }
         if (!result.value().isCommitted) {
-            this->takeConflict(writes, result.value());
+            this->handleConflict(writes, result.value());
             return;
         }
         this->leadership.confirm(sentAt);
         for (const auto& write : writes) {
-            auto job = this->board.jobs.find(write.job);
-            if (job == this->board.jobs.end())
+            auto job = this->tables.jobs.find(write.job);
+            if (job == this->tables.jobs.end())
                 continue;
             if (write.isEnd)
                 this->forget(job->second);
             else {
                 job->second.progressRevision = result.value().revision;
-                this->stored(job->second);
+                this->onStored(job->second);
             }
         }
         this->writeNext();
     }
 
-    void takeConflict(const std::vector<Write>& writes, const KvCommitResult& result)
+    void handleConflict(const std::vector<Write>& writes, const KvCommitResult& result)
     {
-        auto [holderKey, token] = this->leadership.condition();
-        if (result.currentRevision(holderKey) != token) {
+        auto [leaderKey, token] = this->leadership.condition();
+        if (result.currentRevision(leaderKey) != token) {
             this->isUnderWay = false;
             this->leadership.stepDown("a write was refused");
             return;
         }
-        // A write whose answer was lost had been done.
+        // An earlier write, whose answer was lost, may have been applied.
         for (const auto& write : writes) {
-            auto job = this->board.jobs.find(write.job);
-            if (job == this->board.jobs.end())
+            auto job = this->tables.jobs.find(write.job);
+            if (job == this->tables.jobs.end())
                 continue;
             if (!write.isEnd)
                 job->second.progressRevision = result.currentRevision(StoreKeys::progress(write.job));
@@ -173,8 +173,8 @@
     void retry(const std::vector<Write>& writes)
     {
         for (const auto& write : writes) {
-            if (auto job = this->board.jobs.find(write.job); job != this->board.jobs.end())
-                this->board.markUnrecorded(job->second);
+            if (auto job = this->tables.jobs.find(write.job); job != this->tables.jobs.end())
+                this->tables.markUnrecorded(job->second);
         }
         this->isUnderWay = false;
     }
@@ -188,32 +188,32 @@
                 .add("team", job.record.team.string())
                 .add("state", nameOf(job.state))
                 .add("after_ms", unixMilliseconds() - job.record.receivedUnixMs));
-        this->board.forgetJob(job.record.id);
+        this->tables.forgetJob(job.record.id);
     }
 
-    void finishRound()
+    void finishFlush()
     {
         this->isUnderWay = false;
-        for (const auto& [id, ends] : this->endsAtStart) {
-            if (auto* worker = this->board.findWorker(id))
+        for (const auto& [id, ends] : this->endsAtFlushStart) {
+            if (auto* worker = this->tables.findWorker(id))
                 worker->endsRecorded = std::max(worker->endsRecorded, std::min(ends, worker->endsSeen));
         }
-        this->recorded();
-        if (this->isWantedAgain && !this->board.unrecorded.empty())
+        this->onFlushed();
+        if (this->isFlushPending && !this->tables.unrecorded.empty())
             this->flush();
     }
 
     Store& store;
     Leadership<Store>& leadership;
-    JobBoard& board;
-    std::function<void(JobRow&)> stored;
-    std::function<void()> recorded;
+    JobBoard& tables;
+    std::function<void(JobRow&)> onStored;
+    std::function<void()> onFlushed;
     std::shared_ptr<bool> alive;
     JobProgressCodec progressCodec;
     bool isUnderWay = false;
-    bool isWantedAgain = false;
+    bool isFlushPending = false;
     std::deque<JobId> queue;
-    std::unordered_map<WorkerId, std::uint64_t> endsAtStart;
+    std::unordered_map<WorkerId, std::uint64_t> endsAtFlushStart;
 };
 
 } // namespace Greengage
--- a/modules/coordinator/placing/CrewKeeper.h
+++ b/modules/coordinator/placing/WorkerRosterManager.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <coordinator/leadership/Leadership.h>
-#include <coordinator/placing/CrewRecord.h>
+#include <coordinator/placing/WorkerRosterRecord.h>
 #include <jobs/board/JobBoard.h>
 
 #include <map>
@@ -10,27 +10,27 @@
 
 namespace Greengage {
 
-/// Keeps the stored list of workers that may run tasks in line with the board. A worker gets its first task only after
-/// it is on the stored list, so that the next holder asks it too.
-template <SharedStore Store> class CrewKeeper {
+/// Keeps the stored worker roster in line with the job tables. A worker gets its first task only after it is on the
+/// stored roster, so that the next leader queries it too.
+template <SharedStore Store> class WorkerRosterManager {
 public:
-    CrewKeeper(Store& store, Leadership<Store>& leadership, JobBoard& board)
+    WorkerRosterManager(Store& store, Leadership<Store>& leadership, JobBoard& tables)
         : store(store)
         , leadership(leadership)
-        , board(board)
+        , tables(tables)
         , alive(std::make_shared<bool>(true))
     {
     }
 
-    ~CrewKeeper() { *this->alive = false; }
+    ~WorkerRosterManager() { *this->alive = false; }
 
-    CrewKeeper(const CrewKeeper&) = delete;
-    CrewKeeper& operator=(const CrewKeeper&) = delete;
+    WorkerRosterManager(const WorkerRosterManager&) = delete;
+    WorkerRosterManager& operator=(const WorkerRosterManager&) = delete;
 
-    /// From now on answers that are still to come change nothing.
+    /// Ignores all answers that arrive from now on.
     void close() { *this->alive = false; }
 
-    /// Whether the list that the last holder left has been read.
+    /// Whether the roster that the last leader stored has been read.
     bool isLoaded() const { return this->hasLoaded; }
 
     void tick()
@@ -47,7 +47,7 @@
     void load()
     {
         this->isUnderWay = true;
-        this->store.read(StoreKeys::crew, [this, alive = this->alive](auto result) {
+        this->store.read(StoreKeys::workerRoster, [this, alive = this->alive](auto result) {
             if (!*alive)
                 return;
             this->isUnderWay = false;
@@ -57,13 +57,13 @@
             if (!result.value())
                 return;
             this->revision = result.value()->revision;
-            auto record = CrewRecord::decode(result.value()->value);
+            auto record = WorkerRosterRecord::decode(result.value()->value);
             if (!record) {
                 writeLog(LogLevel::Error, LogLine("stored_crew_unreadable"));
                 return;
             }
             for (auto& facts : record->workers) {
-                auto [entry, isNew] = this->board.workers.try_emplace(facts.id);
+                auto [entry, isNew] = this->tables.workers.try_emplace(facts.id);
                 if (!isNew)
                     continue;
                 entry->second.facts = facts;
@@ -75,11 +75,11 @@
 
     bool hasChanged() const
     {
-        if (this->recorded.size() != this->board.workers.size())
+        if (this->storedIncarnations.size() != this->tables.workers.size())
             return true;
-        for (const auto& [id, worker] : this->board.workers) {
-            auto found = this->recorded.find(id);
-            if (found == this->recorded.end() || found->second != worker.facts.bornUnixMs)
+        for (const auto& [id, worker] : this->tables.workers) {
+            auto found = this->storedIncarnations.find(id);
+            if (found == this->storedIncarnations.end() || found->second != worker.facts.bornUnixMs)
                 return true;
         }
         return false;
@@ -87,32 +87,32 @@
 
     void save()
     {
-        CrewRecord record;
-        std::map<WorkerId, std::int64_t> written;
-        for (const auto& [id, worker] : this->board.workers) {
+        WorkerRosterRecord record;
+        std::map<WorkerId, std::int64_t> incarnations;
+        for (const auto& [id, worker] : this->tables.workers) {
             record.workers.push_back(worker.facts);
-            written.emplace(id, worker.facts.bornUnixMs);
+            incarnations.emplace(id, worker.facts.bornUnixMs);
         }
-        KvCommit commit { { this->leadership.condition(), { StoreKeys::crew, this->revision } },
-            { { StoreKeys::crew, record.encode() } }, {} };
+        KvCommit commit { { this->leadership.condition(), { StoreKeys::workerRoster, this->revision } },
+            { { StoreKeys::workerRoster, record.encode() } }, {} };
         this->isUnderWay = true;
         Instant sentAt = BootClock::now();
-        this->store.commit(std::move(commit), [this, alive = this->alive, written, sentAt](auto result) {
+        this->store.commit(std::move(commit), [this, alive = this->alive, incarnations, sentAt](auto result) {
             if (!*alive)
                 return;
             this->isUnderWay = false;
             if (!result.has_value())
                 return;
             if (!result.value().isCommitted) {
-                // An earlier write whose answer was lost; the next one replaces it.
-                this->revision = result.value().currentRevision(StoreKeys::crew);
+                // An earlier write, whose answer was lost, was applied; the next write replaces it.
+                this->revision = result.value().currentRevision(StoreKeys::workerRoster);
                 return;
             }
             this->leadership.confirm(sentAt);
             this->revision = result.value().revision;
-            this->recorded = written;
-            for (const auto& [id, born] : written) {
-                if (auto* worker = this->board.findWorker(id))
+            this->storedIncarnations = incarnations;
+            for (const auto& [id, born] : incarnations) {
+                if (auto* worker = this->tables.findWorker(id))
                     worker->isRecorded = true;
             }
         });
@@ -120,13 +120,13 @@
 
     Store& store;
     Leadership<Store>& leadership;
-    JobBoard& board;
+    JobBoard& tables;
     std::shared_ptr<bool> alive;
     bool isUnderWay = false;
     bool hasLoaded = false;
     std::int64_t revision = 0;
-    /// The stored workers and their births.
-    std::map<WorkerId, std::int64_t> recorded;
+    /// The stored workers and the start times of their incarnations, in Unix milliseconds.
+    std::map<WorkerId, std::int64_t> storedIncarnations;
 };
 
 } // namespace Greengage
--- a/modules/coordinator/placing/CrewRecord.cpp
+++ b/modules/coordinator/placing/WorkerRosterRecord.cpp
@@ -1,4 +1,4 @@
-#include <coordinator/placing/CrewRecord.h>
+#include <coordinator/placing/WorkerRosterRecord.h>
 
 #include <jobs/codec/CompactJson.h>
 
@@ -17,7 +17,7 @@
 
 } // namespace
 
-std::string CrewRecord::encode() const
+std::string WorkerRosterRecord::encode() const
 {
     Json::Value value(Json::objectValue);
     value["workers"] = Json::Value(Json::arrayValue);
@@ -33,12 +33,12 @@
     return toCompactJson(value);
 }
 
-std::optional<CrewRecord> CrewRecord::decode(std::string_view text)
+std::optional<WorkerRosterRecord> WorkerRosterRecord::decode(std::string_view text)
 {
     auto value = parseJsonObject(text);
     if (!value || !(*value)["workers"].isArray())
         return std::nullopt;
-    CrewRecord record;
+    WorkerRosterRecord record;
     try {
         for (const auto& row : (*value)["workers"]) {
             if (!row.isArray() || row.size() != ColumnCount)
@@ -52,7 +52,7 @@
             record.workers.push_back(std::move(worker));
         }
     } catch (const Json::Exception&) {
-        // A column of another type: the text is not ours.
+        // A column has another type, so the text was not written by `encode`.
         return std::nullopt;
     }
     return record;
--- a/modules/coordinator/placing/CrewRecord.h
+++ b/modules/coordinator/placing/WorkerRosterRecord.h
@@ -9,16 +9,16 @@
 
 namespace Greengage {
 
-/// The workers that the holder of the leadership may have given tasks to, as they are stored. The directory is not
-/// enough: it drops workers that cannot reach the store, though they run on.
-struct CrewRecord {
-    /// Only what is needed to reach the workers: id, pool, address and birth.
+/// The stored worker roster: the workers that a leader may have given tasks to. The directory is not enough: it drops
+/// workers that cannot reach the store, though they keep running.
+struct WorkerRosterRecord {
+    /// Only what is needed to reach the workers: id, pool, address, port and start time.
     std::vector<WorkerFacts> workers;
 
     std::string encode() const;
 
     /// Nothing if the text was not written by `encode`.
-    static std::optional<CrewRecord> decode(std::string_view text);
+    static std::optional<WorkerRosterRecord> decode(std::string_view text);
 };
 
 } // namespace Greengage
--- a/modules/coordinator/tests/CoordinatorTests.cpp
+++ b/modules/coordinator/tests/CoordinatorTests.cpp
@@ -16,18 +16,18 @@
 
 namespace {
 
-/// One daemon: access to the store and the workers, and a coordinator.
+/// One daemon: a coordinator and a job service, with access to the stand-ins for store and workers.
 struct FakeDaemon {
     static constexpr Milliseconds leaseLength { 4000 };
     static constexpr Milliseconds keepEndedFor { 3000 };
-    using Placing = Coordinator<MemoryStore, FakeLink, FakeMachines, FakeAdvice>;
+    using TestCoordinator = Coordinator<MemoryStore, FakeLink, FakeMachines, FakeAdvice>;
 
     FakeDaemon(event_base& base, MemoryTables& tables, FakeWorkers& workers, const char* name, const char* incarnation)
         : store(base, tables)
         , link(base, workers)
         , machines(base)
         , advice(base)
-        , placing(base, this->store, this->link, this->machines, this->advice, DaemonId(name),
+        , coordinator(base, this->store, this->link, this->machines, this->advice, DaemonId(name),
               IncarnationId(incarnation), { leaseLength, Milliseconds(0), keepEndedFor })
         , desk(this->store)
     {
@@ -42,10 +42,10 @@
         queue.id = QueueId("advised");
         queue.advice = AdvicePolicy { Milliseconds(5), Milliseconds(1), Milliseconds(3000) };
         policies->queues[queue.id] = queue;
-        this->placing.setPolicies(policies);
-        this->placing.onDirectoryWanted([this](bool isWanted) {
+        this->coordinator.setPolicies(policies);
+        this->coordinator.onDirectoryWanted([this](bool isWanted) {
             if (isWanted)
-                this->placing.setWorkers(FakeDaemon::directory());
+                this->coordinator.setWorkers(FakeDaemon::directory());
         });
     }
 
@@ -66,7 +66,7 @@
     FakeLink link;
     FakeMachines machines;
     FakeAdvice advice;
-    Placing placing;
+    TestCoordinator coordinator;
     JobDesk<MemoryStore> desk;
 };
 
@@ -82,7 +82,7 @@
         return std::make_unique<FakeDaemon>(*this->base, this->tables, this->workers, name, incarnation);
     }
 
-    /// Runs the loop until the condition holds. False if it does not within the time.
+    /// Runs the loop until the condition holds. Returns false if it does not hold in time.
     template <typename Condition> bool runUntil(Condition condition, Milliseconds atMost = Milliseconds(8000))
     {
         auto deadline = Deadline::after(BootClock::now(), atMost);
@@ -115,7 +115,7 @@
     {
         std::optional<DeskOutcome> outcome;
         daemon.desk.submit(record, Deadline::after(BootClock::now(), Milliseconds(500)),
-            [&outcome](DeskOutcome told) { outcome = told; });
+            [&outcome](DeskOutcome result) { outcome = result; });
         this->runUntil([&outcome] { return outcome.has_value(); });
         return *outcome;
     }
@@ -123,12 +123,12 @@
     StateAnswer state(FakeDaemon& daemon, const std::string& id)
     {
         std::optional<StateAnswer> answer;
-        daemon.desk.findState(JobId(id), [&answer](StateAnswer told) { answer = told; });
+        daemon.desk.findState(JobId(id), [&answer](StateAnswer result) { answer = result; });
         this->runUntil([&answer] { return answer.has_value(); });
         return *answer;
     }
 
-    /// Tasks are packed, so all of a small job are on one worker.
+    /// The worker that runs all tasks of a small job, since tasks are packed.
     WorkerId busiestWorker()
     {
         return this->workers.workers[WorkerId("w1")].running.empty() ? WorkerId("w2") : WorkerId("w1");
@@ -149,7 +149,7 @@
 
 BOOST_AUTO_TEST_CASE(aSubmittedJobIsRunOnceAndShownAsCompleted)
 {
-    this->first->placing.start();
+    this->first->coordinator.start();
     BOOST_TEST((this->submit(*this->first, this->job("j", 4)) == DeskOutcome::Stored));
     BOOST_TEST(this->runUntil([this] { return this->isCompleted("j"); }));
     BOOST_TEST(this->workers.starts == 4U);
@@ -157,28 +157,28 @@
     StateAnswer answer = this->state(*this->first, "j");
     BOOST_TEST((answer.outcome == DeskOutcome::Stored && answer.state == JobState::Completed));
     BOOST_TEST((this->state(*this->first, "none").outcome == DeskOutcome::NoSuchJob));
-    // The workers may forget their ends once these are stored.
-    BOOST_TEST(this->runUntil([this] { return this->workers.notedDone.size() == 4U; }));
+    // The workers may forget ends once these are stored.
+    BOOST_TEST(this->runUntil([this] { return this->workers.storedAsDone.size() == 4U; }));
 }
 
 BOOST_AUTO_TEST_CASE(tasksOfAnAdvisedQueueStartWithATicketWhereTheServiceAllows)
 {
     this->first->advice.fit = { WorkerId("w2") };
     this->first->advice.refuse = 1;
-    this->first->placing.start();
+    this->first->coordinator.start();
     JobRecord record = this->job("j", 4);
     record.queue = QueueId("advised");
     this->submit(*this->first, record);
     BOOST_TEST(this->runUntil([this] { return this->isCompleted("j"); }));
     BOOST_TEST(this->workers.starts == 4U);
     BOOST_TEST((this->workers.tickets == std::set<std::string> { "ticket for w2" }));
-    // One question was refused and the next one answered; nothing more was left to ask.
+    // The first question is refused and the second one answered; no further one is needed.
     BOOST_TEST(this->first->advice.questions == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(aSubmissionThatComesAgainStaysOneJob)
+BOOST_AUTO_TEST_CASE(aRepeatedSubmissionStaysOneJob)
 {
-    this->first->placing.start();
+    this->first->coordinator.start();
     BOOST_TEST((this->submit(*this->first, this->job("j", 2)) == DeskOutcome::Stored));
     BOOST_TEST((this->submit(*this->first, this->job("j", 2)) == DeskOutcome::Stored));
     BOOST_TEST(this->runUntil([this] { return this->isCompleted("j"); }));
@@ -201,21 +201,21 @@
     BOOST_TEST(this->tables.items.empty());
 }
 
-BOOST_AUTO_TEST_CASE(aSubmissionToASilentStoreIsUnknown)
+BOOST_AUTO_TEST_CASE(aSubmissionToAnUnresponsiveStoreIsUnknown)
 {
-    this->first->store.isSilent = true;
+    this->first->store.isUnresponsive = true;
     BOOST_TEST((this->submit(*this->first, this->job("j", 1)) == DeskOutcome::Unknown));
 }
 
 BOOST_AUTO_TEST_CASE(noTaskStartsBeforeItsPlacementIsStored)
 {
-    this->first->placing.start();
-    this->runUntil([this] { return this->first->placing.isPlacing(); });
+    this->first->coordinator.start();
+    this->runUntil([this] { return this->first->coordinator.isLeader(); });
     this->submit(*this->first, this->job("j", 1));
-    // From now on no write is done, though the worker could be reached.
+    // From now on the first daemon cannot write, though it can reach the workers.
     this->runUntil([this] { return this->tables.items.contains("gg/crew"); });
     std::size_t startsBefore = this->workers.starts;
-    this->first->store.isSilent = true;
+    this->first->store.isUnresponsive = true;
     JobRecord record = this->job("k", 1);
     this->second = this->makeDaemon("second", "1");
     this->submit(*this->second, record);
@@ -225,36 +225,36 @@
     BOOST_TEST(this->workers.starts <= startsBefore + 1);
 }
 
-BOOST_AUTO_TEST_CASE(anotherDaemonGoesOnWhenTheHolderIsCutOffFromTheStore)
+BOOST_AUTO_TEST_CASE(anotherDaemonTakesOverWhenTheLeaderIsCutOffFromTheStore)
 {
     this->workers.taskLength = Milliseconds(3000);
-    this->first->placing.start();
-    BOOST_REQUIRE(this->runUntil([this] { return this->first->placing.isPlacing(); }));
+    this->first->coordinator.start();
+    BOOST_REQUIRE(this->runUntil([this] { return this->first->coordinator.isLeader(); }));
     this->second = this->makeDaemon("second", "1");
-    this->second->placing.start();
+    this->second->coordinator.start();
     this->submit(*this->second, this->job("j", 4));
     BOOST_REQUIRE(this->runUntil([this] { return this->workers.starts == 4U; }));
-    this->first->store.isSilent = true;
-    BOOST_TEST(this->runUntil([this] { return this->second->placing.isPlacing(); }));
+    this->first->store.isUnresponsive = true;
+    BOOST_TEST(this->runUntil([this] { return this->second->coordinator.isLeader(); }));
     BOOST_TEST(this->runUntil([this] { return this->isCompleted("j"); }));
     BOOST_TEST(this->workers.doubled.empty());
     BOOST_TEST(this->workers.starts == 4U);
-    BOOST_TEST(!this->first->placing.leadershipState().mayAct(BootClock::now()));
+    BOOST_TEST(!this->first->coordinator.leadershipState().mayAct(BootClock::now()));
 }
 
-BOOST_AUTO_TEST_CASE(tasksOnAWorkerThatTheNextHolderCannotReachAreNotDoubled)
+BOOST_AUTO_TEST_CASE(tasksOnAWorkerThatTheNextLeaderCannotReachDoNotRunTwice)
 {
     this->workers.taskLength = Milliseconds(20'000);
-    this->first->placing.start();
-    BOOST_REQUIRE(this->runUntil([this] { return this->first->placing.isPlacing(); }));
+    this->first->coordinator.start();
+    BOOST_REQUIRE(this->runUntil([this] { return this->first->coordinator.isLeader(); }));
     this->submit(*this->first, this->job("j", 4));
     BOOST_REQUIRE(this->runUntil([this] { return this->workers.starts == 4U; }));
     this->second = this->makeDaemon("second", "1");
     this->second->link.unreachable = { WorkerId("w1"), WorkerId("w2") };
-    this->second->placing.start();
-    this->first->store.isSilent = true;
-    BOOST_REQUIRE(this->runUntil([this] { return this->second->placing.isPlacing(); }));
-    // What the old holder could last extend lapses, and only then do the tasks start again.
+    this->second->coordinator.start();
+    this->first->store.isUnresponsive = true;
+    BOOST_REQUIRE(this->runUntil([this] { return this->second->coordinator.isLeader(); }));
+    // The tasks start again only after the last lease that the old leader may have extended has expired.
     this->workers.taskLength = Milliseconds(100);
     this->second->link.unreachable = { this->busiestWorker() };
     BOOST_TEST(this->runUntil([this] { return this->isCompleted("j"); }, Milliseconds(15'000)));
@@ -262,52 +262,52 @@
     BOOST_TEST(this->workers.doubled.empty());
 }
 
-BOOST_AUTO_TEST_CASE(aRestartedHolderTakesItsPartBackAtOnce)
+BOOST_AUTO_TEST_CASE(aRestartedLeaderBecomesLeaderAgainAtOnce)
 {
     this->workers.taskLength = Milliseconds(600);
-    this->first->placing.start();
-    BOOST_REQUIRE(this->runUntil([this] { return this->first->placing.isPlacing(); }));
+    this->first->coordinator.start();
+    BOOST_REQUIRE(this->runUntil([this] { return this->first->coordinator.isLeader(); }));
     this->submit(*this->first, this->job("j", 4));
     BOOST_REQUIRE(this->runUntil([this] { return this->workers.starts == 4U; }));
-    this->first->store.isSilent = true;
+    this->first->store.isUnresponsive = true;
     this->first->link.unreachable = { WorkerId("w1"), WorkerId("w2") };
     this->second = this->makeDaemon("first", "2");
-    this->second->placing.start();
-    BOOST_TEST(this->runUntil([this] { return this->second->placing.isPlacing(); }, Milliseconds(300)));
+    this->second->coordinator.start();
+    BOOST_TEST(this->runUntil([this] { return this->second->coordinator.isLeader(); }, Milliseconds(300)));
     BOOST_TEST(this->runUntil([this] { return this->isCompleted("j"); }));
     BOOST_TEST(this->workers.doubled.empty());
     BOOST_TEST(this->workers.starts == 4U);
 }
 
-/// A new holder used to say that nothing waited until it had read the jobs.
-BOOST_AUTO_TEST_CASE(aNewHolderRepeatsWhatTheLastOneSaidOfWaitingJobs)
+/// Guards against a new leader that publishes zero waiting jobs before it has loaded the jobs.
+BOOST_AUTO_TEST_CASE(aNewLeaderRepeatsTheWaitingJobsOfTheLastHeartbeat)
 {
     KvCommit earlier;
-    earlier.puts = { { StoreKeys::holder, HolderRecord { DaemonId("first"), IncarnationId("0"), 3 }.encode() },
-        { StoreKeys::beat, "{\"waiting\":{\"quick\":5}}" } };
+    earlier.puts = { { StoreKeys::leader, HolderRecord { DaemonId("first"), IncarnationId("0"), 3 }.encode() },
+        { StoreKeys::heartbeat, "{\"waiting\":{\"quick\":5}}" } };
     this->first->store.commit(earlier, [](auto) {});
     this->first->store.listDelay = Milliseconds(50);
-    this->first->placing.start();
-    BOOST_REQUIRE(this->runUntil([this] { return this->first->placing.isPlacing(); }));
-    BOOST_TEST(this->tables.items.at(StoreKeys::beat).value.find("\"quick\":5") != std::string::npos);
-    BOOST_TEST(this->first->placing.waitingJobs(QueueId("quick")) == 5U);
+    this->first->coordinator.start();
+    BOOST_REQUIRE(this->runUntil([this] { return this->first->coordinator.isLeader(); }));
+    BOOST_TEST(this->tables.items.at(StoreKeys::heartbeat).value.find("\"quick\":5") != std::string::npos);
+    BOOST_TEST(this->first->coordinator.waitingJobs(QueueId("quick")) == 5U);
 }
 
-BOOST_AUTO_TEST_CASE(aResigningHolderIsFollowedWithoutWaiting)
+BOOST_AUTO_TEST_CASE(aResigningLeaderIsReplacedWithoutWaiting)
 {
-    this->first->placing.start();
-    BOOST_REQUIRE(this->runUntil([this] { return this->first->placing.isPlacing(); }));
+    this->first->coordinator.start();
+    BOOST_REQUIRE(this->runUntil([this] { return this->first->coordinator.isLeader(); }));
     this->second = this->makeDaemon("second", "1");
-    this->second->placing.start();
+    this->second->coordinator.start();
     this->runFor(Milliseconds(100));
-    this->first->placing.resign();
-    BOOST_TEST(this->runUntil([this] { return this->second->placing.isPlacing(); }, Milliseconds(300)));
+    this->first->coordinator.resign();
+    BOOST_TEST(this->runUntil([this] { return this->second->coordinator.isLeader(); }, Milliseconds(300)));
 }
 
 BOOST_AUTO_TEST_CASE(lostAnswersOfTheStoreLoseNoProgress)
 {
-    this->first->placing.start();
-    BOOST_REQUIRE(this->runUntil([this] { return this->first->placing.isPlacing(); }));
+    this->first->coordinator.start();
+    BOOST_REQUIRE(this->runUntil([this] { return this->first->coordinator.isLeader(); }));
     for (int index = 0; index < 5; ++index) {
         this->submit(*this->first, this->job("j" + std::to_string(index), 2));
         this->first->store.loseCommits = 2;
@@ -318,42 +318,42 @@
     BOOST_TEST(this->workers.starts == 10U);
 }
 
-BOOST_AUTO_TEST_CASE(jobsThatCameWhileHistoryWasDroppedAreFound)
+BOOST_AUTO_TEST_CASE(jobsStoredWhileHistoryWasDroppedAreLoaded)
 {
-    this->first->placing.start();
-    BOOST_REQUIRE(this->runUntil([this] { return this->first->placing.isPlacing(); }));
+    this->first->coordinator.start();
+    BOOST_REQUIRE(this->runUntil([this] { return this->first->coordinator.isLeader(); }));
     this->tables.historyFrom = this->tables.revision + 100;
     this->submit(*this->first, this->job("j", 1));
     this->tables.historyFrom = this->tables.revision;
     BOOST_TEST(this->runUntil([this] { return this->isCompleted("j"); }));
 }
 
-/// The daemon used to end itself: a watch of its earlier session was answered right after it had lost the leadership.
+/// Guards against a crash: a watch of an earlier session may be answered right after the leadership was lost.
 BOOST_AUTO_TEST_CASE(answersToAnEarlierSessionChangeNothing)
 {
-    this->first->placing.start();
-    BOOST_REQUIRE(this->runUntil([this] { return this->first->placing.isPlacing(); }));
+    this->first->coordinator.start();
+    BOOST_REQUIRE(this->runUntil([this] { return this->first->coordinator.isLeader(); }));
     for (int round = 0; round < 20; ++round) {
-        BOOST_REQUIRE(this->runUntil([this] { return this->first->placing.isPlacing(); }));
+        BOOST_REQUIRE(this->runUntil([this] { return this->first->coordinator.isLeader(); }));
         this->runFor(Milliseconds(20));
         this->submit(*this->first, this->job("j" + std::to_string(round), 1));
-        KvCommit usurp;
-        usurp.puts = { { StoreKeys::holder, HolderRecord { DaemonId(), IncarnationId("x"), 50 }.encode() },
+        KvCommit leaderChange;
+        leaderChange.puts = { { StoreKeys::leader, HolderRecord { DaemonId(), IncarnationId("x"), 50 }.encode() },
             { StoreKeys::job(JobId("u" + std::to_string(round))),
                 JobRecordCodec().encode(this->job("u" + std::to_string(round), 1)) } };
-        this->first->store.commit(usurp, [](auto) {});
+        this->first->store.commit(leaderChange, [](auto) {});
     }
     BOOST_TEST(this->runUntil([this] { return this->isCompleted("u19") && this->isCompleted("j19"); }));
     BOOST_TEST(this->workers.doubled.empty());
 }
 
-/// A listing that was made before a job ended and answered after it used to bring the job back, and its tasks ran
-/// twice.
-BOOST_AUTO_TEST_CASE(aLateListingDoesNotBringAnEndedJobBack)
+/// Guards against tasks that run twice: a listing may be made before a job ends and be answered after it, and then
+/// shows the ended job as open.
+BOOST_AUTO_TEST_CASE(aLateListingDoesNotReopenAnEndedJob)
 {
     this->workers.taskLength = Milliseconds(150);
-    this->first->placing.start();
-    BOOST_REQUIRE(this->runUntil([this] { return this->first->placing.isPlacing(); }));
+    this->first->coordinator.start();
+    BOOST_REQUIRE(this->runUntil([this] { return this->first->coordinator.isLeader(); }));
     this->submit(*this->first, this->job("j", 3));
     BOOST_REQUIRE(this->runUntil([this] { return this->workers.starts == 3U; }));
     this->first->store.listDelay = Milliseconds(600);
@@ -366,10 +366,10 @@
     BOOST_TEST(this->workers.doubled.empty());
 }
 
-BOOST_AUTO_TEST_CASE(theEndOfAJobIsKeptForAWhileAndThenRemoved)
+BOOST_AUTO_TEST_CASE(theStateOfAnEndedJobIsKeptForAWhileAndThenRemoved)
 {
-    this->first->placing.start();
-    BOOST_REQUIRE(this->runUntil([this] { return this->first->placing.isPlacing(); }));
+    this->first->coordinator.start();
+    BOOST_REQUIRE(this->runUntil([this] { return this->first->coordinator.isLeader(); }));
     this->submit(*this->first, this->job("j", 1));
     BOOST_REQUIRE(this->runUntil([this] { return this->isCompleted("j"); }));
     Instant ended = BootClock::now();
@@ -380,13 +380,13 @@
 BOOST_AUTO_TEST_CASE(aCancelledJobIsStopped)
 {
     this->workers.taskLength = Milliseconds(60'000);
-    this->first->placing.start();
-    BOOST_REQUIRE(this->runUntil([this] { return this->first->placing.isPlacing(); }));
+    this->first->coordinator.start();
+    BOOST_REQUIRE(this->runUntil([this] { return this->first->coordinator.isLeader(); }));
     this->submit(*this->first, this->job("j", 3));
     BOOST_REQUIRE(this->runUntil([this] { return this->workers.starts == 3U; }));
     std::optional<DeskOutcome> outcome;
     this->first->desk.cancel(JobId("j"), Deadline::after(BootClock::now(), Milliseconds(500)),
-        [&outcome](DeskOutcome told) { outcome = told; });
+        [&outcome](DeskOutcome result) { outcome = result; });
     BOOST_TEST(this->runUntil([&outcome] { return outcome == DeskOutcome::Stored; }));
     BOOST_TEST(this->runUntil([this] { return this->state(*this->first, "j").state == JobState::Cancelled; }));
     BOOST_TEST(this->runUntil([this] {
@@ -396,11 +396,12 @@
     BOOST_TEST(this->workers.starts == 3U);
 }
 
-/// The load: orders to workers are lost or held up for seconds. A job used to wait four seconds for each lost order.
+/// Guards against a job that waits four seconds for each lost start order. Under load, orders to workers may be lost or
+/// delayed for seconds.
 BOOST_AUTO_TEST_CASE(aLostStartIsOrderedAgainWithinASecondOrSo)
 {
-    this->first->placing.start();
-    BOOST_REQUIRE(this->runUntil([this] { return this->first->placing.isPlacing(); }));
+    this->first->coordinator.start();
+    BOOST_REQUIRE(this->runUntil([this] { return this->first->coordinator.isLeader(); }));
     this->submit(*this->first, this->job("warm", 1));
     BOOST_REQUIRE(this->runUntil([this] { return this->isCompleted("warm"); }));
     this->first->link.loseStarts = 2;
@@ -409,12 +410,12 @@
     BOOST_TEST(this->workers.doubled.empty());
 }
 
-/// Several renewals in a row used to let the lease lapse.
-BOOST_AUTO_TEST_CASE(threeLostRenewalsInARowLetNoLeaseLapse)
+/// Guards against a lease that expires because several renewals in a row are lost.
+BOOST_AUTO_TEST_CASE(threeLostRenewalsInARowExpireNoLease)
 {
     this->workers.taskLength = Milliseconds(7000);
-    this->first->placing.start();
-    BOOST_REQUIRE(this->runUntil([this] { return this->first->placing.isPlacing(); }));
+    this->first->coordinator.start();
+    BOOST_REQUIRE(this->runUntil([this] { return this->first->coordinator.isLeader(); }));
     this->submit(*this->first, this->job("j", 2));
     BOOST_REQUIRE(this->runUntil([this] { return this->workers.starts == 2U; }));
     this->runFor(Milliseconds(1500));
@@ -424,11 +425,11 @@
     BOOST_TEST(this->workers.starts == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(whatASilentWorkerRanStartsElsewhereOnceItsLeaseIsOver)
+BOOST_AUTO_TEST_CASE(tasksOfAnUnresponsiveWorkerRestartElsewhereOnceItsLeaseHasExpired)
 {
     this->workers.taskLength = Milliseconds(1000);
-    this->first->placing.start();
-    BOOST_REQUIRE(this->runUntil([this] { return this->first->placing.isPlacing(); }));
+    this->first->coordinator.start();
+    BOOST_REQUIRE(this->runUntil([this] { return this->first->coordinator.isLeader(); }));
     this->submit(*this->first, this->job("j", 4));
     BOOST_REQUIRE(this->runUntil([this] { return this->workers.starts == 4U; }));
     const WorkerId host = this->busiestWorker();
--- a/modules/coordinator/tests/FakeAdvice.h
+++ b/modules/coordinator/tests/FakeAdvice.h
@@ -8,7 +8,7 @@
 
 namespace Greengage {
 
-/// A stand-in of the advice service.
+/// A stand-in for the advice service.
 class FakeAdvice {
 public:
     explicit FakeAdvice(event_base& base)
@@ -16,9 +16,9 @@
     {
     }
 
-    /// Workers that may run whatever is asked about.
+    /// Workers that may run every step.
     std::set<WorkerId> fit;
-    /// The next so many questions are refused.
+    /// How many of the next questions are refused.
     int refuse = 0;
     std::size_t questions = 0;
 
--- a/modules/coordinator/tests/FakeWorkers.h
+++ b/modules/coordinator/tests/FakeWorkers.h
@@ -14,8 +14,8 @@
 
 namespace Greengage {
 
-/// Stand-ins of workers that run tasks under leases and fences, and note what would break a promise. Several daemons
-/// share them, each through a FakeLink.
+/// Stand-ins for workers that run tasks under leases and fencing tokens, and record violations of what the coordinator
+/// guarantees. Several daemons share them, each through a FakeLink.
 struct FakeWorkers {
     struct Run {
         std::uint32_t run = 0;
@@ -34,16 +34,17 @@
     /// How long a task runs.
     Milliseconds taskLength { 100 };
     std::map<WorkerId, Worker> workers;
-    /// Tasks that ended done, and how often.
+    /// Tasks that completed, and how often.
     std::map<TaskName, int> done;
-    /// Starts of a task that was running elsewhere, or was noted as done.
+    /// Tasks that were started while they ran elsewhere, or after their completion was stored.
     std::vector<TaskName> doubled;
-    std::set<TaskName> notedDone;
+    /// Tasks whose completion the coordinator has acknowledged as stored.
+    std::set<TaskName> storedAsDone;
     std::size_t starts = 0;
     std::set<JobId> startedJobs;
     /// The tickets that starts carried.
     std::set<std::string> tickets;
-    /// Attempts that ended because their lease was over.
+    /// Attempts that ended because their lease expired.
     std::size_t lapses = 0;
 
     static std::int64_t clockMs()
@@ -51,8 +52,8 @@
         return std::chrono::duration_cast<Milliseconds>(BootClock::now().time_since_epoch()).count();
     }
 
-    /// Brings a worker up to the present: tasks end, leases lapse.
-    void settle(Worker& worker)
+    /// Ends the tasks of a worker that are complete by now or whose lease has expired.
+    void endDueTasks(Worker& worker)
     {
         std::int64_t now = clockMs();
         bool hasLapsed = worker.leaseUntilMs < now;
@@ -75,14 +76,14 @@
     {
         bool isRunning = false;
         for (auto& [id, worker] : this->workers) {
-            this->settle(worker);
+            this->endDueTasks(worker);
             isRunning = isRunning || worker.running.contains(task);
         }
         return isRunning;
     }
 };
 
-/// One daemon's way to the stand-ins.
+/// One daemon's link to the stand-ins.
 class FakeLink {
 public:
     FakeLink(event_base& base, FakeWorkers& workers)
@@ -93,7 +94,7 @@
 
     /// Workers that this daemon cannot reach.
     std::set<WorkerId> unreachable;
-    /// The next so many start orders, and renewals, are lost on their way.
+    /// How many of the next start orders, and of the next renewals, are lost.
     int loseStarts = 0;
     int loseRenewals = 0;
 
@@ -109,10 +110,10 @@
 
     void stop(const WorkerEndpoint& endpoint, const StopAttempt& order, OrderCallback callback)
     {
-        bool isTaken = !this->unreachable.contains(endpoint.id);
-        if (isTaken) {
+        bool isAccepted = !this->unreachable.contains(endpoint.id);
+        if (isAccepted) {
             auto& worker = this->workers.workers[endpoint.id];
-            this->workers.settle(worker);
+            this->workers.endDueTasks(worker);
             worker.stopped.emplace(order.task, order.run);
             auto found = worker.running.find(order.task);
             if (found != worker.running.end() && found->second.run == order.run) {
@@ -120,7 +121,7 @@
                 worker.running.erase(found);
             }
         }
-        after(this->base, Milliseconds(2), [callback = std::move(callback), isTaken] { callback(isTaken); });
+        after(this->base, Milliseconds(2), [callback = std::move(callback), isAccepted] { callback(isAccepted); });
     }
 
     void pace(const WorkerEndpoint&, const PaceAttempt&, OrderCallback callback)
@@ -142,14 +143,14 @@
             return;
         }
         worker.fence = order.fencingToken;
-        this->workers.settle(worker);
+        this->workers.endDueTasks(worker);
         if (order.leaseUntilClockMs)
             worker.leaseUntilMs = std::max(worker.leaseUntilMs, *order.leaseUntilClockMs);
         std::erase_if(worker.ended, [&](const EndedAttempt& end) {
-            bool isNoted = end.number <= order.recordedEnds;
-            if (isNoted && end.kind == EndKind::Done)
-                this->workers.notedDone.insert(end.task);
-            return isNoted;
+            bool isStored = end.number <= order.recordedEnds;
+            if (isStored && end.kind == EndKind::Done)
+                this->workers.storedAsDone.insert(end.task);
+            return isStored;
         });
         this->reportLater(endpoint.id, Deadline::after(BootClock::now(), order.wait), std::move(callback));
     }
@@ -158,7 +159,7 @@
     StartOutcome apply(const WorkerId& id, const StartAttempt& order)
     {
         auto& worker = this->workers.workers[id];
-        this->workers.settle(worker);
+        this->workers.endDueTasks(worker);
         std::int64_t now = FakeWorkers::clockMs();
         if (order.fencingToken < worker.fence)
             return StartOutcome::Fenced;
@@ -166,7 +167,7 @@
             return StartOutcome::TooLate;
         if (worker.stopped.contains({ order.task, order.run }))
             return StartOutcome::Outdated;
-        if (this->workers.isRunningAnywhere(order.task) || this->workers.notedDone.contains(order.task))
+        if (this->workers.isRunningAnywhere(order.task) || this->workers.storedAsDone.contains(order.task))
             this->workers.doubled.push_back(order.task);
         this->workers.starts += 1;
         this->workers.tickets.insert(order.ticket);
@@ -180,7 +181,7 @@
     void reportLater(const WorkerId& id, Deadline until, ReportCallback callback)
     {
         auto& worker = this->workers.workers[id];
-        this->workers.settle(worker);
+        this->workers.endDueTasks(worker);
         if (worker.ended.empty() && !until.hasPassed(BootClock::now())) {
             after(this->base, Milliseconds(5), [this, id, until, callback = std::move(callback)]() mutable {
                 this->reportLater(id, until, std::move(callback));
@@ -199,7 +200,7 @@
     FakeWorkers& workers;
 };
 
-/// A fleet that never moves.
+/// A stand-in for the machine service, with no VMs.
 class FakeMachines {
 public:
     explicit FakeMachines(event_base& base)
--- a/modules/coordinator/tests/LeadershipTests.cpp
+++ b/modules/coordinator/tests/LeadershipTests.cpp
@@ -14,7 +14,7 @@
 constexpr std::int64_t small = 120;
 constexpr std::int64_t large = 500;
 
-/// One daemon's share in the leadership.
+/// A daemon that takes part in the election.
 struct Candidate {
     Candidate(event_base& base, MemoryTables& tables, const char* name, std::int64_t cpuMillis)
         : store(base, tables)
@@ -25,7 +25,7 @@
         this->leadership.start();
     }
 
-    bool holds() const { return this->leadership.isHolder(); }
+    bool isLeader() const { return this->leadership.isLeader(); }
 
     std::int64_t token = 0;
     MemoryStore store;
@@ -40,7 +40,7 @@
         return std::make_unique<Candidate>(*this->base, this->tables, name, cpuMillis);
     }
 
-    /// Runs the loop until the condition holds. False if it does not within the time.
+    /// Runs the loop until the condition holds. Returns false if it does not hold in time.
     template <typename Condition> bool runUntil(Condition condition, Milliseconds atMost = Milliseconds(6000))
     {
         auto deadline = Deadline::after(BootClock::now(), atMost);
@@ -64,23 +64,23 @@
     auto first = this->start("first", small);
     auto second = this->start("second", large);
     auto third = this->start("third", small);
-    BOOST_TEST(this->runUntil([&] { return second->holds(); }, Milliseconds(2000)));
+    BOOST_TEST(this->runUntil([&] { return second->isLeader(); }, Milliseconds(2000)));
     this->runUntil([] { return false; }, Milliseconds(1500));
-    BOOST_TEST(second->holds());
-    BOOST_TEST(!first->holds());
-    BOOST_TEST(!third->holds());
+    BOOST_TEST(second->isLeader());
+    BOOST_TEST(!first->isLeader());
+    BOOST_TEST(!third->isLeader());
 }
 
-BOOST_AUTO_TEST_CASE(aSmallerHolderHandsOverToALargerDaemon)
+BOOST_AUTO_TEST_CASE(aSmallerLeaderHandsOverToALargerDaemon)
 {
     auto first = this->start("first", small);
-    BOOST_REQUIRE(this->runUntil([&] { return first->holds(); }));
+    BOOST_REQUIRE(this->runUntil([&] { return first->isLeader(); }));
     auto second = this->start("second", large);
     auto third = this->start("third", large);
-    BOOST_TEST(this->runUntil([&] { return second->holds() || third->holds(); }));
-    BOOST_TEST(!first->holds());
+    BOOST_TEST(this->runUntil([&] { return second->isLeader() || third->isLeader(); }));
+    BOOST_TEST(!first->isLeader());
     BOOST_TEST(std::max(second->token, third->token) > first->token);
-    // Equals leave the part where it is.
+    // A daemon of equal size does not replace the leader.
     std::int64_t token = std::max(second->token, third->token);
     this->runUntil([] { return false; }, Milliseconds(2500));
     BOOST_TEST(std::max(second->token, third->token) == token);
@@ -90,14 +90,14 @@
 BOOST_AUTO_TEST_CASE(aSmallDaemonLeadsWhileNoLargerOneIsAlive)
 {
     auto first = this->start("first", large);
-    BOOST_REQUIRE(this->runUntil([&] { return first->holds(); }));
+    BOOST_REQUIRE(this->runUntil([&] { return first->isLeader(); }));
     auto second = this->start("second", small);
     this->runUntil([] { return false; }, Milliseconds(500));
-    first->store.isSilent = true;
-    BOOST_TEST(this->runUntil([&] { return second->holds(); }, Milliseconds(4000)));
-    // The larger one comes back and takes its part again.
-    first->store.isSilent = false;
-    BOOST_TEST(this->runUntil([&] { return first->holds() && !second->holds(); }));
+    first->store.isUnresponsive = true;
+    BOOST_TEST(this->runUntil([&] { return second->isLeader(); }, Milliseconds(4000)));
+    // The larger daemon reconnects and becomes leader again.
+    first->store.isUnresponsive = false;
+    BOOST_TEST(this->runUntil([&] { return first->isLeader() && !second->isLeader(); }));
     BOOST_TEST(first->token > second->token);
 }
 
--- a/modules/coordinator/tests/MemoryStore.h
+++ b/modules/coordinator/tests/MemoryStore.h
@@ -15,15 +15,15 @@
 /// The tables of an in-memory stand-in for the shared store. Several daemons share one, each through a MemoryStore.
 struct MemoryTables {
     std::map<std::string, KvItem> items;
-    /// Every change, in order.
+    /// All changes, in order.
     std::vector<KvItem> history;
     std::int64_t revision = 1;
-    /// Watches from before this revision find their history gone.
+    /// Watches from an earlier revision fail with HistoryGone.
     std::int64_t historyFrom = 0;
     std::size_t commits = 0;
 };
 
-/// One daemon's access to the stand-in, with the faults that its network brings.
+/// One daemon's access to the stand-in, with simulated network faults.
 class MemoryStore {
 public:
     MemoryStore(event_base& base, MemoryTables& tables)
@@ -32,13 +32,13 @@
     {
     }
 
-    /// No call is answered.
-    bool isSilent = false;
+    /// Calls get no answer.
+    bool isUnresponsive = false;
     /// Calls are refused at once.
     bool isRefusing = false;
-    /// Listings are answered this much later than they are made.
+    /// Delay between a listing and its answer.
     Milliseconds listDelay { 1 };
-    /// The next so many commits are done, and their answers are lost.
+    /// How many of the next commits are applied without an answer.
     int loseCommits = 0;
 
     void read(const std::string& key, KvReadCallback callback)
@@ -57,7 +57,7 @@
             if (key.starts_with(prefix))
                 listing.items.push_back(item);
         }
-        if (this->isSilent || this->isRefusing)
+        if (this->isUnresponsive || this->isRefusing)
             this->answer<KvListing>(std::move(callback), [] { return KvListing(); });
         else
             this->later(this->listDelay, [callback = std::move(callback), listing] { callback(listing); });
@@ -70,7 +70,7 @@
 
     void commit(const KvCommit& commit, KvCommitCallback callback)
     {
-        if (this->isSilent || this->isRefusing) {
+        if (this->isUnresponsive || this->isRefusing) {
             this->answer<KvCommitResult>(std::move(callback), [] { return KvCommitResult(); });
             return;
         }
@@ -112,7 +112,7 @@
     template <typename Value, typename Make>
     void answer(std::function<void(Result<Value, KvFailure>)> callback, Make make)
     {
-        if (this->isSilent)
+        if (this->isUnresponsive)
             this->later(Milliseconds(50), [callback = std::move(callback)] { callback(KvFailure::Unanswered); });
         else if (this->isRefusing)
             this->later(Milliseconds(1), [callback = std::move(callback)] { callback(KvFailure::Refused); });
@@ -122,7 +122,7 @@
 
     void poll(const std::string& prefix, std::int64_t after, Deadline until, KvListCallback callback)
     {
-        if (this->isSilent || this->isRefusing) {
+        if (this->isUnresponsive || this->isRefusing) {
             this->answer<KvListing>(std::move(callback), [] { return KvListing(); });
             return;
         }
