--- a/modules/coordinator/fleet/FleetController.h
+++ b/modules/coordinator/fleet/FleetController.h
@@ -133,7 +133,7 @@
         writeLog(outcome == MachineOutcome::Taken ? LogLevel::Info : LogLevel::Warning,
             LogLine("move_answered").add("machine", order.machine.string()).add("outcome", nameOf(outcome)));
         if (outcome == MachineOutcome::Fenced) {
-            this->leadership.stepDown("a machine knows a higher token");
+            this->leadership.stepDown("a machine has seen a higher fencing token");
             return;
         }
         if (outcome == MachineOutcome::Taken) {
@@ -193,8 +193,7 @@
                 else
                     writeLog(LogLevel::Error, LogLine("stored_wave_unreadable").add("wave", number));
             }
-            writeLog(
-                LogLevel::Info, LogLine("wave_taken_up").add("wave", number).add("done", loaded.record.done.size()));
+            writeLog(LogLevel::Info, LogLine("wave_loaded").add("wave", number).add("done", loaded.record.done.size()));
             this->progress[number] = loaded;
             if (!loaded.revision)
                 this->save(number);
@@ -277,7 +276,7 @@
         this->pendingOrders.insert(machine);
         // Counts as down from now on, since the answer may be lost.
         this->possiblyDown[machine] = Deadline::never();
-        writeLog(LogLevel::Info, LogLine("upkeep_ordered").add("wave", wave).add("machine", machine.string()));
+        writeLog(LogLevel::Info, LogLine("maintenance_ordered").add("wave", wave).add("machine", machine.string()));
         this->machines.beginUpkeep(machine, wave, this->leadership.currentTerm().fencingToken,
             [this, alive = this->alive, wave, machine](MachineOutcome outcome) {
                 if (*alive)
@@ -290,7 +289,7 @@
         Instant now = BootClock::now();
         this->pendingOrders.erase(machine);
         writeLog(LogLevel::Info,
-            LogLine("upkeep_answered")
+            LogLine("maintenance_answered")
                 .add("wave", wave)
                 .add("machine", machine.string())
                 .add("outcome", nameOf(outcome)));
@@ -301,7 +300,7 @@
             this->possiblyDown.erase(machine);
         this->retryFrom[machine] = Deadline::after(now, retryPause);
         if (outcome == MachineOutcome::Fenced)
-            this->leadership.stepDown("a machine knows a higher token");
+            this->leadership.stepDown("a machine has seen a higher fencing token");
         if (outcome != MachineOutcome::Taken || !this->progress.contains(wave))
             return;
         this->progress.at(wave).record.done.insert(machine);
--- a/modules/coordinator/leadership/DaemonSizes.h
+++ b/modules/coordinator/leadership/DaemonSizes.h
@@ -47,7 +47,7 @@
         this->store.commit(commit, [this](auto result) {
             this->isPublishing = false;
             if (!result.has_value())
-                writeLog(LogLevel::Warning, LogLine("size_not_stored").add("reason", nameOf(result.error())));
+                writeLog(LogLevel::Warning, LogLine("daemon_size_not_stored").add("reason", nameOf(result.error())));
         });
     }
 
--- a/modules/coordinator/leadership/Leadership.h
+++ b/modules/coordinator/leadership/Leadership.h
@@ -199,7 +199,7 @@
         this->leaderRevision = item.isRemoved ? 0 : item.revision;
         this->leader = item.isRemoved ? std::nullopt : HolderRecord::decode(item.value);
         if (this->term && item.revision > this->term->fencingToken)
-            this->stepDown("another daemon holds the key");
+            this->stepDown("another daemon has acquired the leader key");
         // The answer to our own acquisition may have been lost.
         bool isOwn = this->leader && this->leader->daemon == this->self.daemon
             && this->leader->incarnation == this->self.incarnation;
@@ -237,7 +237,7 @@
             if (result.value().isCommitted)
                 this->confirm(now);
             else
-                this->stepDown("a beat was refused");
+                this->stepDown("a heartbeat was refused");
         });
     }
 
--- a/modules/coordinator/placing/AdviceManager.h
+++ b/modules/coordinator/placing/AdviceManager.h
@@ -57,14 +57,14 @@
         if (result.has_value()) {
             this->system.take(question, result.value(), now);
             writeLog(LogLevel::Info,
-                LogLine("advice_taken")
+                LogLine("advice_received")
                     .add("step", question.step.text())
                     .add("asked", question.workers.size())
                     .add("fit", result.value().fit.size()));
         } else {
             this->system.fail(question, now);
             writeLog(LogLevel::Warning,
-                LogLine("advice_missing")
+                LogLine("advice_failed")
                     .add("step", question.step.text())
                     .add("asked", question.workers.size())
                     .add("reason", nameOf(result.error())));
--- a/modules/coordinator/placing/Coordinator.h
+++ b/modules/coordinator/placing/Coordinator.h
@@ -224,7 +224,7 @@
     }
 
     /// Steps down, because a worker has seen a higher fencing token: another daemon is the leader.
-    void handleFenced() { this->leadership.stepDown("a worker knows a higher token"); }
+    void handleFenced() { this->leadership.stepDown("a worker has seen a higher fencing token"); }
 
     void handleJobListing(Session& current, const KvListing& listing)
     {
@@ -361,7 +361,7 @@
     {
         auto value = parseJsonObject(text);
         if (!value || !(*value)["waiting"].isObject()) {
-            writeLog(LogLevel::Error, LogLine("stored_beat_unreadable"));
+            writeLog(LogLevel::Error, LogLine("stored_heartbeat_unreadable"));
             return;
         }
         this->waitingByQueue.clear();
--- a/modules/coordinator/placing/JobLoader.cpp
+++ b/modules/coordinator/placing/JobLoader.cpp
@@ -55,7 +55,7 @@
         return;
     }
     writeLog(LogLevel::Info,
-        LogLine("job_taken_up")
+        LogLine("job_loaded")
             .add("job", id.string())
             .add("queue", record->queue.string())
             .add("team", record->team.string())
--- a/modules/coordinator/placing/LeaseManager.h
+++ b/modules/coordinator/placing/LeaseManager.h
@@ -70,7 +70,7 @@
     void handleRestart(WorkerRow& worker)
     {
         writeLog(LogLevel::Warning,
-            LogLine("worker_reborn").add("worker", worker.facts.id.string()).add("lost", worker.attempts.size()));
+            LogLine("worker_restarted").add("worker", worker.facts.id.string()).add("lost", worker.attempts.size()));
         this->tables.clearWorker(worker);
         worker.leaseOver = Deadline();
     }
@@ -216,7 +216,7 @@
             worker->facts.bornUnixMs = report.bornUnixMs;
         }
         if (renewal.failures)
-            writeLog(LogLevel::Info, LogLine("worker_regained").add("worker", id.string()));
+            writeLog(LogLevel::Info, LogLine("lease_renewal_recovered").add("worker", id.string()));
         renewal.failures = 0;
         renewal.next = Deadline();
         worker->isSuspect = false;
@@ -228,7 +228,7 @@
     {
         if (!renewal.failures)
             writeLog(LogLevel::Warning,
-                LogLine("worker_lost")
+                LogLine("lease_renewal_failed")
                     .add("worker", worker.facts.id.string())
                     .add("reason", nameOf(failure))
                     .add("attempts", worker.attempts.size()));
@@ -256,7 +256,7 @@
                 && (worker.isReached || tables.inheritedLeasesOver.hasPassed(now));
             if (isExpired && !(worker.attempts.empty() && worker.strays.empty())) {
                 writeLog(LogLevel::Warning,
-                    LogLine("worker_lease_over")
+                    LogLine("worker_lease_expired")
                         .add("worker", worker.facts.id.string())
                         .add("lost", worker.attempts.size()));
                 tables.clearWorker(worker);
--- a/modules/coordinator/placing/OrderSender.h
+++ b/modules/coordinator/placing/OrderSender.h
@@ -212,7 +212,7 @@
     {
         attempt.paceUnderWay = true;
         writeLog(LogLevel::Info,
-            LogLine("task_pace")
+            LogLine("task_throttle")
                 .add("task", attempt.task.text())
                 .add("run", attempt.run)
                 .add("worker", worker.facts.id.string())
--- a/modules/coordinator/placing/ProgressWriter.h
+++ b/modules/coordinator/placing/ProgressWriter.h
@@ -154,7 +154,7 @@
         auto [leaderKey, token] = this->leadership.condition();
         if (result.currentRevision(leaderKey) != token) {
             this->isUnderWay = false;
-            this->leadership.stepDown("a write was refused");
+            this->leadership.stepDown("a write was refused: the leader has changed");
             return;
         }
         // An earlier write, whose answer was lost, may have been applied.
--- a/modules/coordinator/placing/WorkerRosterManager.h
+++ b/modules/coordinator/placing/WorkerRosterManager.h
@@ -59,7 +59,7 @@
             this->revision = result.value()->revision;
             auto record = WorkerRosterRecord::decode(result.value()->value);
             if (!record) {
-                writeLog(LogLevel::Error, LogLine("stored_crew_unreadable"));
+                writeLog(LogLevel::Error, LogLine("stored_worker_roster_unreadable"));
                 return;
             }
             for (auto& facts : record->workers) {
--- a/modules/coordinator/store/PrefixMirror.h
+++ b/modules/coordinator/store/PrefixMirror.h
@@ -80,7 +80,7 @@
             return;
         }
         if (this->failures)
-            writeLog(LogLevel::Info, LogLine("store_prefix_regained").add("prefix", this->prefix));
+            writeLog(LogLevel::Info, LogLine("store_prefix_recovered").add("prefix", this->prefix));
         this->failures = 0;
         this->answeredAt = BootClock::now();
         this->revision = std::max(this->revision, result.value().revision);
@@ -102,7 +102,7 @@
         }
         if (!this->failures)
             writeLog(LogLevel::Warning,
-                LogLine("store_prefix_lost").add("prefix", this->prefix).add("reason", nameOf(failure)));
+                LogLine("store_prefix_read_failed").add("prefix", this->prefix).add("reason", nameOf(failure)));
         auto pause = std::min(longestRetryPause, firstRetryPause * (1 << std::min(this->failures, 3)));
         this->failures += 1;
         auto stillAlive = this->alive;
