--- a/modules/fleet/requests/RequestPlane.cpp
+++ b/modules/fleet/requests/RequestPlane.cpp
@@ -1,13 +1,13 @@
 #include <fleet/requests/RequestPlane.h>
 
 #include <fleet/requests/admission/Admission.h>
-#include <fleet/requests/attempts/Attempts.h>
-#include <fleet/requests/claims/Claims.h>
-#include <fleet/requests/dispatch/Dispatch.h>
+#include <fleet/requests/attempts/AttemptTracker.h>
+#include <fleet/requests/claims/ClaimManager.h>
+#include <fleet/requests/dispatch/Dispatcher.h>
 #include <fleet/requests/dispatch/EndpointTable.h>
-#include <fleet/requests/dispatch/Expiry.h>
+#include <fleet/requests/dispatch/RequestExpiry.h>
 #include <fleet/requests/freshness/FreshnessFence.h>
-#include <fleet/requests/limits/DeadAllotments.h>
+#include <fleet/requests/limits/ExpiredAllotments.h>
 #include <fleet/requests/limits/LimitEscrow.h>
 #include <fleet/requests/tables/RequestTables.h>
 #include <fleet/requests/tables/Tick.h>
@@ -28,11 +28,11 @@
         Tick tick { this->tables, now, outbox };
         LimitEscrow(tick).checkContact();
         for (const auto& input : inputs)
-            std::visit([&](const auto& message) { take(tick, message); }, input);
-        Expiry(tick).run();
-        Attempts(tick).settleUnknown();
-        if (this->tables.isAnyWaiting())
-            Dispatch(tick).run();
+            std::visit([&](const auto& message) { handle(tick, message); }, input);
+        RequestExpiry(tick).run();
+        AttemptTracker(tick).settleUnknown();
+        if (this->tables.hasWaitingRequests())
+            Dispatcher(tick).run();
         LimitEscrow(tick).run();
         return outbox;
     }
@@ -40,20 +40,20 @@
     RequestTables tables;
 
 private:
-    static void take(Tick& tick, const RequestArrived& message) { Admission(tick).admit(message); }
-    static void take(Tick& tick, const CallerLeft& message) { Expiry(tick).take(message); }
-    static void take(Tick& tick, const EndpointsListed& message) { EndpointTable(tick).take(message); }
-    static void take(Tick& tick, const AttemptEnded& message) { Attempts(tick).take(message); }
+    static void handle(Tick& tick, const RequestArrived& message) { Admission(tick).admit(message); }
+    static void handle(Tick& tick, const CallerLeft& message) { RequestExpiry(tick).handle(message); }
+    static void handle(Tick& tick, const EndpointsListed& message) { EndpointTable(tick).handle(message); }
+    static void handle(Tick& tick, const AttemptEnded& message) { AttemptTracker(tick).handle(message); }
 
-    static void take(Tick& tick, const RunningReported& message)
+    static void handle(Tick& tick, const RunningReported& message)
     {
-        Attempts(tick).take(message);
-        DeadAllotments(tick).take(message);
+        AttemptTracker(tick).handle(message);
+        ExpiredAllotments(tick).handle(message);
     }
 
-    static void take(Tick& tick, const ShutdownRequested&) { tick.tables.shuttingDown = true; }
+    static void handle(Tick& tick, const ShutdownRequested&) { tick.tables.shuttingDown = true; }
 
-    static void take(Tick& tick, const DocumentApplied& message)
+    static void handle(Tick& tick, const DocumentApplied& message)
     {
         auto& tables = tick.tables;
         if (tables.document && message.document->revision <= tables.document->revision)
@@ -63,16 +63,16 @@
         Admission(tick).recheckWaiting();
     }
 
-    static void take(Tick& tick, const StoreConfirmed& message) { FreshnessFence(tick).take(message); }
-    static void take(Tick& tick, const ClaimSettled& message) { Claims(tick).take(message); }
-    static void take(Tick& tick, const AllotmentsRead& message) { LimitEscrow(tick).take(message); }
-    static void take(Tick& tick, const AllotmentsWriteFailed& message) { LimitEscrow(tick).take(message); }
-    static void take(Tick& tick, const PeerHeard& message) { FreshnessFence(tick).take(message); }
+    static void handle(Tick& tick, const StoreConfirmed& message) { FreshnessFence(tick).handle(message); }
+    static void handle(Tick& tick, const ClaimSettled& message) { ClaimManager(tick).handle(message); }
+    static void handle(Tick& tick, const AllotmentsRead& message) { LimitEscrow(tick).handle(message); }
+    static void handle(Tick& tick, const AllotmentsWriteFailed& message) { LimitEscrow(tick).handle(message); }
+    static void handle(Tick& tick, const PeerHeard& message) { FreshnessFence(tick).handle(message); }
 
-    static void take(Tick& tick, const MembersListed& message)
+    static void handle(Tick& tick, const MembersListed& message)
     {
-        FreshnessFence(tick).take(message);
-        LimitEscrow(tick).take(message);
+        FreshnessFence(tick).handle(message);
+        LimitEscrow(tick).handle(message);
     }
 };
 
@@ -101,9 +101,9 @@
         if (endpoint.draining && endpoint.running > 0)
             state.busyDrainingVms.push_back(id);
     }
-    for (const auto& [key, line] : tables.lines) {
-        if (line.running > 0 || line.waiting > 0)
-            state.demand.push_back(TeamDemand { key.queue, key.team, line.running, line.waiting });
+    for (const auto& [key, teamQueue] : tables.teamQueues) {
+        if (teamQueue.running > 0 || teamQueue.waiting > 0)
+            state.demand.push_back(TeamDemand { key.queue, key.team, teamQueue.running, teamQueue.waiting });
     }
     return state;
 }
--- a/modules/fleet/requests/admission/Admission.cpp
+++ b/modules/fleet/requests/admission/Admission.cpp
@@ -44,7 +44,7 @@
     row.deadline = unbounded ? longest : arrived.deadline;
     if (row.deadline > longest)
         return this->refuse(arrived, OutcomeReason::DeadlineTooLong, row.team);
-    if (auto reason = this->checkRoom(*queue, row); reason != OutcomeReason::None)
+    if (auto reason = this->checkCapacity(*queue, row); reason != OutcomeReason::None)
         return this->refuse(arrived, reason, row.team);
     RequestLifecycle(this->tick).enqueue(std::move(row));
 }
@@ -62,16 +62,16 @@
         return OutcomeReason::KeyMissing;
     if (!FreshnessFence(this->tick).allowsKeyedWork())
         return OutcomeReason::ConfigurationStale;
-    auto holder = tables.keys.verify(arrived.bearer);
-    if (!holder)
+    auto identity = tables.keys.verify(arrived.bearer);
+    if (!identity)
         return OutcomeReason::KeyInvalid;
-    row.key = holder->key;
+    row.key = identity->key;
     row.keyDigest = this->digestOf(row.key);
-    row.team = holder->team;
+    row.team = identity->team;
     return OutcomeReason::None;
 }
 
-OutcomeReason Admission::checkRoom(const Queue& queue, const RequestRow& row) const
+OutcomeReason Admission::checkCapacity(const Queue& queue, const RequestRow& row) const
 {
     const auto& tables = this->tick.tables;
     if (row.deadline.hasPassed(this->tick.now))
@@ -79,8 +79,8 @@
     const Team* team = tables.findTeam(row.team);
     if (team && team->limit == 0)
         return OutcomeReason::LimitReached;
-    auto line = tables.lines.find(WorkLineKey { row.queue, row.team });
-    if (line != tables.lines.end() && line->second.waiting >= queue.maxWaitingPerTeam)
+    auto teamQueue = tables.teamQueues.find(TeamQueueKey { row.queue, row.team });
+    if (teamQueue != tables.teamQueues.end() && teamQueue->second.waiting >= queue.maxWaitingPerTeam)
         return OutcomeReason::QueueFull;
     return OutcomeReason::None;
 }
@@ -93,8 +93,8 @@
         return OutcomeReason::UnknownQueue;
     if (queue->access == QueueAccess::Open)
         return OutcomeReason::None;
-    bool keyStands = tables.findTeam(row.team) && this->digestOf(row.key) == row.keyDigest;
-    return keyStands ? OutcomeReason::None : OutcomeReason::KeyInvalid;
+    bool keyUnchanged = tables.findTeam(row.team) && this->digestOf(row.key) == row.keyDigest;
+    return keyUnchanged ? OutcomeReason::None : OutcomeReason::KeyInvalid;
 }
 
 std::string Admission::digestOf(const KeyId& name) const
--- a/modules/fleet/requests/admission/Admission.h
+++ b/modules/fleet/requests/admission/Admission.h
@@ -26,7 +26,7 @@
 private:
     /// Fills in team and key, or gives the reason for refusing.
     OutcomeReason identify(const Queue&, const RequestArrived&, RequestRow&) const;
-    OutcomeReason checkRoom(const Queue&, const RequestRow&) const;
+    OutcomeReason checkCapacity(const Queue&, const RequestRow&) const;
     OutcomeReason recheck(const RequestRow&) const;
     /// Team, salt and digest of a key, so that a key that was replaced under its old name is noticed; empty if absent.
     std::string digestOf(const KeyId&) const;
--- a/modules/fleet/requests/attempts/Attempts.cpp
+++ b/modules/fleet/requests/attempts/AttemptTracker.cpp
@@ -1,4 +1,4 @@
-#include <fleet/requests/attempts/Attempts.h>
+#include <fleet/requests/attempts/AttemptTracker.h>
 
 #include <algorithm>
 #include <fleet/requests/admission/Admission.h>
@@ -20,12 +20,12 @@
 
 } // namespace
 
-Attempts::Attempts(Tick& tick)
+AttemptTracker::AttemptTracker(Tick& tick)
     : tick(tick)
 {
 }
 
-void Attempts::take(const AttemptEnded& ended)
+void AttemptTracker::handle(const AttemptEnded& ended)
 {
     auto& requests = this->tick.tables.requests;
     auto found = requests.find(ended.request);
@@ -53,47 +53,47 @@
         this->retryWithinBudget(row, OutcomeReason::EndpointsRefused);
         return;
     case AttemptResult::Broken:
-        this->afterLoss(row, OutcomeReason::ConnectionBroken);
+        this->handleLostAttempt(row, OutcomeReason::ConnectionBroken);
         return;
     case AttemptResult::Silent:
         this->tick.tables.runTimes[row.queue].addUnanswered(this->tick.now - row.sentAt);
-        this->afterLoss(row, OutcomeReason::AnswerTimedOut);
+        this->handleLostAttempt(row, OutcomeReason::AnswerTimedOut);
         return;
     }
 }
 
-void Attempts::recordHealth(const RequestRow& row, AttemptResult result)
+void AttemptTracker::recordHealth(const RequestRow& row, AttemptResult result)
 {
     auto found = this->tick.tables.endpoints.find(row.endpoint);
     if (found == this->tick.tables.endpoints.end())
         return;
     EndpointHealth health(found->second, this->tick.now);
-    bool ranLong = result == AttemptResult::Silent && found->second.answeredAt >= row.sentAt;
+    bool endpointAnswersOthers = result == AttemptResult::Silent && found->second.answeredAt >= row.sentAt;
     if (result == AttemptResult::Answered)
         health.recordAnswer();
     else if (result == AttemptResult::Refused)
         health.recordRefusal();
-    else if (!ranLong)
+    else if (!endpointAnswersOthers)
         health.recordFailure();
 }
 
-void Attempts::retryWithinBudget(RequestRow& row, OutcomeReason reason)
+void AttemptTracker::retryWithinBudget(RequestRow& row, OutcomeReason reason)
 {
     bool worthwhile = this->mayRetry(row);
-    if (worthwhile && this->tick.tables.retryBudgets[row.service].takeExtraSend())
+    if (worthwhile && this->tick.tables.retryBudgets[row.service].consumeExtraSend())
         return this->retry(row, reason);
     RequestLifecycle lifecycle(this->tick);
     lifecycle.requeue(row);
     lifecycle.refuse(row, worthwhile && !row.mayHaveRun ? OutcomeReason::RetryBudgetSpent : reason);
 }
 
-bool Attempts::mayRetry(const RequestRow& row) const
+bool AttemptTracker::mayRetry(const RequestRow& row) const
 {
     return row.attempts < maxAttempts && !row.callerLeft && !row.deadline.hasPassed(this->tick.now)
         && EndpointSelection(this->tick).countCandidates(row) > 0;
 }
 
-void Attempts::retry(RequestRow& row, OutcomeReason reason)
+void AttemptTracker::retry(RequestRow& row, OutcomeReason reason)
 {
     RequestLifecycle lifecycle(this->tick);
     bool again = this->mayRetry(row);
@@ -104,7 +104,7 @@
         lifecycle.refuse(row, reason);
 }
 
-void Attempts::afterLoss(RequestRow& row, OutcomeReason reason)
+void AttemptTracker::handleLostAttempt(RequestRow& row, OutcomeReason reason)
 {
     RequestLifecycle lifecycle(this->tick);
     lifecycle.holdAsUnknown(row);
@@ -113,9 +113,9 @@
     lifecycle.finish(row, Outcome::Unknown, reason);
 }
 
-void Attempts::take(const RunningReported& report)
+void AttemptTracker::handle(const RunningReported& report)
 {
-    auto isGone = [&](const UnknownWork& work) {
+    auto hasEnded = [&](const UnknownWork& work) {
         if (work.endpoint != report.endpoint || report.askedAt < work.settlesAfter)
             return false;
         return std::none_of(report.running.begin(), report.running.end(),
@@ -123,13 +123,13 @@
     };
     auto& unknown = this->tick.tables.unknownWork;
     for (const auto& work : unknown) {
-        if (isGone(work))
+        if (hasEnded(work))
             RequestLifecycle(this->tick).release(work);
     }
-    std::erase_if(unknown, isGone);
+    std::erase_if(unknown, hasEnded);
 }
 
-void Attempts::settleUnknown()
+void AttemptTracker::settleUnknown()
 {
     auto& tables = this->tick.tables;
     auto isUnlisted = [&](const UnknownWork& work) {
--- a/modules/fleet/requests/attempts/Attempts.h
+++ b/modules/fleet/requests/attempts/AttemptTracker.h
@@ -10,12 +10,12 @@
 
 /// Takes the ends of attempts: passes answers on, tries another endpoint where that is allowed, and keeps the unit and
 /// the slot of work whose end is not known until its endpoint reports it gone.
-class Attempts {
+class AttemptTracker {
 public:
-    explicit Attempts(Tick&);
+    explicit AttemptTracker(Tick&);
 
-    void take(const AttemptEnded&);
-    void take(const RunningReported&);
+    void handle(const AttemptEnded&);
+    void handle(const RunningReported&);
     /// Frees unknown work at endpoints that are no longer listed, and asks the others about theirs.
     void settleUnknown();
 
@@ -26,7 +26,7 @@
     void retry(RequestRow&, OutcomeReason);
     /// The same, for a request whose bytes have been sent: the next send costs a part of the retry budget.
     void retryWithinBudget(RequestRow&, OutcomeReason);
-    void afterLoss(RequestRow&, OutcomeReason);
+    void handleLostAttempt(RequestRow&, OutcomeReason);
 
     Tick& tick;
 };
--- a/modules/fleet/requests/attempts/EndpointHealth.cpp
+++ b/modules/fleet/requests/attempts/EndpointHealth.cpp
@@ -9,7 +9,7 @@
 
 /// Failures in a row after which an endpoint is set aside.
 constexpr int failuresTolerated = 2;
-constexpr int longestDoubling = 4;
+constexpr int maxDoublings = 4;
 constexpr Milliseconds firstSetAside { 1000 };
 constexpr Milliseconds refusalPause { 50 };
 
@@ -34,14 +34,14 @@
     int beyond = this->endpoint.consecutiveFailures - failuresTolerated - 1;
     if (beyond >= 0)
         this->endpoint.setAsideUntil
-            = Deadline::after(this->now, firstSetAside * (1 << std::min(beyond, longestDoubling)));
+            = Deadline::after(this->now, firstSetAside * (1 << std::min(beyond, maxDoublings)));
 }
 
 void EndpointHealth::recordRefusal() { this->endpoint.pausedUntil = Deadline::after(this->now, refusalPause); }
 
 bool EndpointHealth::isHealthy() const { return this->endpoint.consecutiveFailures <= failuresTolerated; }
 
-bool EndpointHealth::mayBeTried() const
+bool EndpointHealth::isAvailable() const
 {
     if (!this->endpoint.pausedUntil.hasPassed(this->now))
         return false;
--- a/modules/fleet/requests/attempts/EndpointHealth.h
+++ b/modules/fleet/requests/attempts/EndpointHealth.h
@@ -19,7 +19,7 @@
 
     bool isHealthy() const;
     /// Whether it may get one more request now.
-    bool mayBeTried() const;
+    bool isAvailable() const;
 
 private:
     EndpointRow& endpoint;
--- a/modules/fleet/requests/attempts/RetryBudget.cpp
+++ b/modules/fleet/requests/attempts/RetryBudget.cpp
@@ -6,7 +6,7 @@
 
 void RetryBudget::addFirstSend() { this->units = std::min(this->units + 1, maxUnits); }
 
-bool RetryBudget::takeExtraSend()
+bool RetryBudget::consumeExtraSend()
 {
     if (this->units < unitsPerSend)
         return false;
--- a/modules/fleet/requests/attempts/RetryBudget.h
+++ b/modules/fleet/requests/attempts/RetryBudget.h
@@ -8,7 +8,7 @@
 public:
     void addFirstSend();
     /// Takes one extra send out of the budget; false if it is spent.
-    bool takeExtraSend();
+    bool consumeExtraSend();
 
 private:
     static constexpr int unitsPerSend = 12;
--- a/modules/fleet/requests/claims/Claims.cpp
+++ b/modules/fleet/requests/claims/ClaimManager.cpp
@@ -1,4 +1,4 @@
-#include <fleet/requests/claims/Claims.h>
+#include <fleet/requests/claims/ClaimManager.h>
 
 #include <algorithm>
 #include <core/text/Digest.h>
@@ -18,18 +18,18 @@
 
 } // namespace
 
-Claims::Claims(Tick& tick)
+ClaimManager::ClaimManager(Tick& tick)
     : tick(tick)
 {
 }
 
-std::string Claims::storeKeyOf(const RequestRow& row) const
+std::string ClaimManager::storeKeyOf(const RequestRow& row) const
 {
     auto digest = sha256Hex(row.queue.string() + "\n" + row.idempotencyKey);
     return "claims/" + (row.team.isEmpty() ? "-" : row.team.string()) + "/" + digest;
 }
 
-bool Claims::isNeeded(RequestRow& row) const
+bool ClaimManager::isNeeded(RequestRow& row) const
 {
     if (row.idempotent || row.idempotencyKey.empty() || row.claimed)
         return false;
@@ -37,14 +37,14 @@
     return !row.claimed;
 }
 
-void Claims::request(RequestRow& row)
+void ClaimManager::request(RequestRow& row)
 {
     row.stage = RequestStage::Claiming;
     auto settleBy = std::min(row.deadline, Deadline::after(this->tick.now, claimTimeout));
     this->tick.outbox.emplace_back(WriteClaim { row.id, this->storeKeyOf(row), settleBy });
 }
 
-void Claims::take(const ClaimSettled& settled)
+void ClaimManager::handle(const ClaimSettled& settled)
 {
     auto& requests = this->tick.tables.requests;
     auto found = requests.find(settled.request);
@@ -69,7 +69,7 @@
     }
 }
 
-void Claims::keepUnused(const RequestRow& row)
+void ClaimManager::retainUnused(const RequestRow& row)
 {
     auto& unused = this->tick.tables.unusedClaims;
     std::erase_if(unused, [&](const auto& entry) { return entry.second.hasPassed(this->tick.now); });
--- a/modules/fleet/requests/dispatch/Dispatch.cpp
+++ b/modules/fleet/requests/dispatch/Dispatcher.cpp
@@ -1,7 +1,7 @@
-#include <fleet/requests/dispatch/Dispatch.h>
+#include <fleet/requests/dispatch/Dispatcher.h>
 
 #include <algorithm>
-#include <fleet/requests/claims/Claims.h>
+#include <fleet/requests/claims/ClaimManager.h>
 #include <fleet/requests/dispatch/EndpointSelection.h>
 #include <fleet/requests/freshness/FreshnessFence.h>
 #include <fleet/requests/limits/LimitEscrow.h>
@@ -20,11 +20,11 @@
 constexpr int firstAttemptMedians = 4;
 /// Slots of each daemon at a service that the team which runs most of the work there leaves to the others. One lets
 /// their next request start at once.
-constexpr int keptSlots = 1;
+constexpr int reservedSlots = 1;
 
 } // namespace
 
-Dispatch::Dispatch(Tick& tick)
+Dispatcher::Dispatcher(Tick& tick)
     : tick(tick)
     , keyedWorkEnd(FreshnessFence(tick).permissionEnd())
     , demand(tick)
@@ -33,38 +33,38 @@
 {
 }
 
-void Dispatch::run()
+void Dispatcher::run()
 {
     while (this->startNext()) { }
 }
 
-RequestRow* Dispatch::frontOf(WorkLine& line) const
+RequestRow* Dispatcher::frontOf(TeamQueue& teamQueue) const
 {
     auto& requests = this->tick.tables.requests;
-    while (!line.order.empty()) {
-        auto found = requests.find(line.order.front());
-        bool waits = found != requests.end() && found->second.stage == RequestStage::Waiting;
-        if (waits && !this->comesTooLate(found->second))
+    while (!teamQueue.order.empty()) {
+        auto found = requests.find(teamQueue.order.front());
+        bool isWaiting = found != requests.end() && found->second.stage == RequestStage::Waiting;
+        if (isWaiting && !this->cannotFinishInTime(found->second))
             return &found->second;
-        line.order.pop_front();
-        if (waits)
+        teamQueue.order.pop_front();
+        if (isWaiting)
             RequestLifecycle(this->tick).refuse(found->second, OutcomeReason::DeadlinePassed);
     }
     return nullptr;
 }
 
-bool Dispatch::comesTooLate(const RequestRow& row) const
+bool Dispatcher::cannotFinishInTime(const RequestRow& row) const
 {
     if (row.deadline.hasPassed(this->tick.now))
         return true;
     auto estimate = this->tick.tables.runTimes.find(row.queue);
     if (row.attempts > 0 || estimate == this->tick.tables.runTimes.end())
         return false;
-    auto whole = row.deadline.remaining(row.arrivedAt);
-    return row.deadline.remaining(this->tick.now) < estimate->second.timeToLeave(whole);
+    auto total = row.deadline.remaining(row.arrivedAt);
+    return row.deadline.remaining(this->tick.now) < estimate->second.requiredTime(total);
 }
 
-bool Dispatch::isPermitted(const RequestRow& row) const
+bool Dispatcher::isPermitted(const RequestRow& row) const
 {
     bool keyed = !row.key.isEmpty();
     if (keyed && this->tick.now >= this->keyedWorkEnd)
@@ -72,12 +72,13 @@
     return LimitEscrow(this->tick).allowsStart(row.team);
 }
 
-bool Dispatch::leavesTheLastSlot(const RequestRow& row)
+bool Dispatcher::mustLeaveLastSlot(const RequestRow& row)
 {
-    return this->usage.dominates(ServiceTeam { row.service, row.team }) && this->slots.freeAt(row.service) <= keptSlots;
+    return this->usage.dominates(ServiceTeam { row.service, row.team })
+        && this->slots.freeAt(row.service) <= reservedSlots;
 }
 
-bool Dispatch::goesBefore(const RequestRow& row, const RequestRow& other) const
+bool Dispatcher::precedes(const RequestRow& row, const RequestRow& other) const
 {
     if (this->tick.tables.policy.order == ServingOrder::FirstCome)
         return row.arrivedAt < other.arrivedAt;
@@ -90,48 +91,48 @@
     return row.arrivedAt < other.arrivedAt;
 }
 
-bool Dispatch::startNext()
+bool Dispatcher::startNext()
 {
-    WorkLine* bestLine = nullptr;
+    TeamQueue* bestTeamQueue = nullptr;
     RequestRow* bestRow = nullptr;
     EndpointRow* bestEndpoint = nullptr;
-    for (auto& [key, line] : this->tick.tables.lines) {
-        if (line.waiting == 0 || this->blocked.contains(&line))
+    for (auto& [key, teamQueue] : this->tick.tables.teamQueues) {
+        if (teamQueue.waiting == 0 || this->blocked.contains(&teamQueue))
             continue;
-        RequestRow* row = this->frontOf(line);
+        RequestRow* row = this->frontOf(teamQueue);
         EndpointRow* endpoint
             = row && this->isPermitted(*row) ? EndpointSelection(this->tick).choose(*row, this->slots) : nullptr;
-        if (endpoint && this->leavesTheLastSlot(*row))
+        if (endpoint && this->mustLeaveLastSlot(*row))
             endpoint = nullptr;
         if (!endpoint) {
-            this->blocked.insert(&line);
+            this->blocked.insert(&teamQueue);
             continue;
         }
-        if (bestRow && !this->goesBefore(*row, *bestRow))
+        if (bestRow && !this->precedes(*row, *bestRow))
             continue;
-        bestLine = &line;
+        bestTeamQueue = &teamQueue;
         bestRow = row;
         bestEndpoint = endpoint;
     }
     if (!bestRow)
         return false;
-    this->begin(*bestLine, *bestRow, *bestEndpoint);
+    this->begin(*bestTeamQueue, *bestRow, *bestEndpoint);
     return true;
 }
 
-void Dispatch::begin(WorkLine& line, RequestRow& row, EndpointRow& endpoint)
+void Dispatcher::begin(TeamQueue& teamQueue, RequestRow& row, EndpointRow& endpoint)
 {
-    line.order.pop_front();
+    teamQueue.order.pop_front();
     RequestLifecycle(this->tick).start(row, endpoint.id);
     this->usage.addStart(ServiceTeam { row.service, row.team });
-    Claims claims(this->tick);
+    ClaimManager claims(this->tick);
     if (claims.isNeeded(row))
         claims.request(row);
     else
         this->send(row, endpoint);
 }
 
-void Dispatch::send(RequestRow& row, const EndpointRow& endpoint)
+void Dispatcher::send(RequestRow& row, const EndpointRow& endpoint)
 {
     if (row.attempts == 0)
         this->tick.tables.retryBudgets[row.service].addFirstSend();
@@ -152,16 +153,16 @@
     this->tick.outbox.emplace_back(attempt);
 }
 
-Deadline Dispatch::answerBy(const RequestRow& row) const
+Deadline Dispatcher::answerBy(const RequestRow& row) const
 {
     bool mayRetry = row.idempotent && row.attempts == 1 && EndpointSelection(this->tick).countCandidates(row) > 1;
     if (!mayRetry)
         return row.deadline;
-    auto left = row.deadline.remaining(this->tick.now);
+    auto remainingTime = row.deadline.remaining(this->tick.now);
     auto estimate = this->tick.tables.runTimes.find(row.queue);
     auto median = estimate == this->tick.tables.runTimes.end() ? Microseconds::zero() : estimate->second.median();
-    auto patience = std::max(left * firstAttemptPercent / 100, median * firstAttemptMedians);
-    return std::min(row.deadline, Deadline::after(this->tick.now, patience));
+    auto firstAttemptTime = std::max(remainingTime * firstAttemptPercent / 100, median * firstAttemptMedians);
+    return std::min(row.deadline, Deadline::after(this->tick.now, firstAttemptTime));
 }
 
 } // namespace Greengage
--- a/modules/fleet/requests/dispatch/Dispatch.h
+++ b/modules/fleet/requests/dispatch/Dispatcher.h
@@ -12,13 +12,13 @@
 
 struct EndpointRow;
 struct RequestRow;
-struct WorkLine;
+struct TeamQueue;
 
 /// Starts waiting requests while their team has a free unit of its limit and an endpoint has a free slot. The most
 /// urgent work goes first; within a priority the team that runs least for its share.
-class Dispatch {
+class Dispatcher {
 public:
-    explicit Dispatch(Tick&);
+    explicit Dispatcher(Tick&);
 
     void run();
 
@@ -27,15 +27,15 @@
     bool startNext();
     /// The request at the front of a line, after dropping those that no longer wait or come too late; null if the line
     /// is empty.
-    RequestRow* frontOf(WorkLine&) const;
+    RequestRow* frontOf(TeamQueue&) const;
     /// Whether so little time is left, though there was enough on arrival, that an answer in time is unlikely.
-    bool comesTooLate(const RequestRow&) const;
+    bool cannotFinishInTime(const RequestRow&) const;
     /// Whether freshness and the team's limit allow the request to start now.
     bool isPermitted(const RequestRow&) const;
     /// Whether this daemon's last slot at the service is kept for the other teams.
-    bool leavesTheLastSlot(const RequestRow&);
-    bool goesBefore(const RequestRow&, const RequestRow& other) const;
-    void begin(WorkLine&, RequestRow&, EndpointRow&);
+    bool mustLeaveLastSlot(const RequestRow&);
+    bool precedes(const RequestRow&, const RequestRow& other) const;
+    void begin(TeamQueue&, RequestRow&, EndpointRow&);
     void send(RequestRow&, const EndpointRow&);
     /// When the attempt that is being sent counts as silent.
     Deadline answerBy(const RequestRow&) const;
@@ -47,7 +47,7 @@
     FleetUsage usage;
     SlotShares slots;
     /// Lines whose front cannot be started in this tick.
-    std::set<const WorkLine*> blocked;
+    std::set<const TeamQueue*> blocked;
 };
 
 } // namespace Greengage
--- a/modules/fleet/requests/dispatch/EndpointSelection.cpp
+++ b/modules/fleet/requests/dispatch/EndpointSelection.cpp
@@ -20,10 +20,10 @@
 bool EndpointSelection::isBetter(const EndpointRow& endpoint, const EndpointRow& best) const
 {
     const auto& zone = this->tick.tables.self.zone;
-    bool near = endpoint.zone == zone;
-    bool bestNear = best.zone == zone;
-    if (near != bestNear)
-        return near;
+    bool sameZone = endpoint.zone == zone;
+    bool bestSameZone = best.zone == zone;
+    if (sameZone != bestSameZone)
+        return sameZone;
     return endpoint.running < best.running;
 }
 
@@ -36,15 +36,15 @@
             continue;
         EndpointHealth health(endpoint, this->tick.now);
         anyHealthy = anyHealthy || health.isHealthy();
-        if (endpoint.running >= slots.slotsAt(id, row.service) || !health.mayBeTried())
+        if (endpoint.running >= slots.slotsAt(id, row.service) || !health.isAvailable())
             continue;
         if (!best || this->isBetter(endpoint, *best))
             best = &endpoint;
     }
-    return best || anyHealthy ? best : this->leastFailed(row, slots);
+    return best || anyHealthy ? best : this->fewestFailures(row, slots);
 }
 
-EndpointRow* EndpointSelection::leastFailed(const RequestRow& row, SlotShares& slots) const
+EndpointRow* EndpointSelection::fewestFailures(const RequestRow& row, SlotShares& slots) const
 {
     EndpointRow* best = nullptr;
     for (auto& [id, endpoint] : this->tick.tables.endpoints) {
--- a/modules/fleet/requests/dispatch/EndpointSelection.h
+++ b/modules/fleet/requests/dispatch/EndpointSelection.h
@@ -22,7 +22,7 @@
 private:
     bool isCandidate(const EndpointRow&, const RequestRow&) const;
     /// For when every candidate has been set aside: better a doubtful endpoint than none.
-    EndpointRow* leastFailed(const RequestRow&, SlotShares&) const;
+    EndpointRow* fewestFailures(const RequestRow&, SlotShares&) const;
     bool isBetter(const EndpointRow&, const EndpointRow& best) const;
 
     Tick& tick;
--- a/modules/fleet/requests/dispatch/EndpointTable.cpp
+++ b/modules/fleet/requests/dispatch/EndpointTable.cpp
@@ -10,7 +10,7 @@
 {
 }
 
-void EndpointTable::take(const EndpointsListed& listed)
+void EndpointTable::handle(const EndpointsListed& listed)
 {
     auto& endpoints = this->tick.tables.endpoints;
     this->tick.tables.endpointsKnown = true;
--- a/modules/fleet/requests/dispatch/EndpointTable.h
+++ b/modules/fleet/requests/dispatch/EndpointTable.h
@@ -11,7 +11,7 @@
 public:
     explicit EndpointTable(Tick&);
 
-    void take(const EndpointsListed&);
+    void handle(const EndpointsListed&);
     /// Assigns services to endpoints after a new document.
     void assignServices();
 
--- a/modules/fleet/requests/dispatch/Expiry.cpp
+++ b/modules/fleet/requests/dispatch/RequestExpiry.cpp
@@ -1,4 +1,4 @@
-#include <fleet/requests/dispatch/Expiry.h>
+#include <fleet/requests/dispatch/RequestExpiry.h>
 
 #include <fleet/requests/freshness/FreshnessFence.h>
 #include <fleet/requests/limits/LimitEscrow.h>
@@ -8,12 +8,12 @@
 
 namespace Greengage {
 
-Expiry::Expiry(Tick& tick)
+RequestExpiry::RequestExpiry(Tick& tick)
     : tick(tick)
 {
 }
 
-void Expiry::take(const CallerLeft& left)
+void RequestExpiry::handle(const CallerLeft& left)
 {
     auto& requests = this->tick.tables.requests;
     auto found = requests.find(left.request);
@@ -25,7 +25,7 @@
         RequestLifecycle(this->tick).refuse(row, OutcomeReason::None);
 }
 
-void Expiry::run()
+void RequestExpiry::run()
 {
     auto& tables = this->tick.tables;
     while (!tables.deadlines.empty() && tables.deadlines.begin()->first <= this->tick.now) {
@@ -37,7 +37,7 @@
     }
 }
 
-OutcomeReason Expiry::reasonFor(const RequestRow& row) const
+OutcomeReason RequestExpiry::reasonFor(const RequestRow& row) const
 {
     const auto& tables = this->tick.tables;
     if (!row.key.isEmpty() && !FreshnessFence(this->tick).allowsKeyedWork())
--- a/modules/fleet/requests/dispatch/Expiry.h
+++ b/modules/fleet/requests/dispatch/RequestExpiry.h
@@ -9,11 +9,11 @@
 struct RequestRow;
 
 /// Ends requests that nobody waits for any more: their deadline has passed or their caller has left.
-class Expiry {
+class RequestExpiry {
 public:
-    explicit Expiry(Tick&);
+    explicit RequestExpiry(Tick&);
 
-    void take(const CallerLeft&);
+    void handle(const CallerLeft&);
     void run();
 
 private:
--- a/modules/fleet/requests/freshness/FreshnessFence.cpp
+++ b/modules/fleet/requests/freshness/FreshnessFence.cpp
@@ -20,7 +20,7 @@
     return age == Milliseconds::max() ? Instant::min() : askedAt - age;
 }
 
-Instant withBound(Instant instant) { return instant == Instant::min() ? instant : instant + freshnessBound; }
+Instant freshUntil(Instant instant) { return instant == Instant::min() ? instant : instant + freshnessBound; }
 
 } // namespace
 
@@ -29,7 +29,7 @@
 {
 }
 
-void FreshnessFence::take(const StoreConfirmed& confirmed)
+void FreshnessFence::handle(const StoreConfirmed& confirmed)
 {
     auto& tables = this->tick.tables;
     tables.knownRevision = std::max(tables.knownRevision, confirmed.documentRevision);
@@ -37,37 +37,37 @@
     tables.storeAnsweredAt = std::max(tables.storeAnsweredAt, confirmed.askedAt);
 }
 
-void FreshnessFence::take(const PeerHeard& heard)
+void FreshnessFence::handle(const PeerHeard& received)
 {
     auto& tables = this->tick.tables;
-    const auto& state = heard.state;
+    const auto& state = received.state;
     if (state.incarnation == tables.self.incarnation)
         return;
     tables.knownRevision = std::max({ tables.knownRevision, state.knownRevision, state.appliedRevision });
-    tables.confirmedAt = std::max(tables.confirmedAt, instantOf(heard.askedAt, state.confirmationAge));
+    tables.confirmedAt = std::max(tables.confirmedAt, instantOf(received.askedAt, state.confirmationAge));
     auto& peer = tables.peers[state.incarnation];
     peer.zone = state.zone;
-    peer.heardAt = std::max(peer.heardAt, heard.askedAt);
-    if (heard.askedAt >= peer.spokenAt) {
-        peer.spokenAt = heard.askedAt;
+    peer.lastSeenAt = std::max(peer.lastSeenAt, received.askedAt);
+    if (received.askedAt >= peer.directlySeenAt) {
+        peer.directlySeenAt = received.askedAt;
         peer.state = state;
     }
-    this->takeSightings(heard);
+    this->applyObservations(received);
 }
 
-void FreshnessFence::takeSightings(const PeerHeard& heard)
+void FreshnessFence::applyObservations(const PeerHeard& received)
 {
     auto& tables = this->tick.tables;
-    for (const auto& sighting : heard.state.sightings) {
+    for (const auto& sighting : received.state.sightings) {
         if (sighting.incarnation == tables.self.incarnation)
             continue;
         auto& peer = tables.peers[sighting.incarnation];
         peer.zone = sighting.zone;
-        peer.heardAt = std::max(peer.heardAt, instantOf(heard.askedAt, sighting.age));
+        peer.lastSeenAt = std::max(peer.lastSeenAt, instantOf(received.askedAt, sighting.age));
     }
 }
 
-void FreshnessFence::take(const MembersListed& listed)
+void FreshnessFence::handle(const MembersListed& listed)
 {
     auto& tables = this->tick.tables;
     tables.membersKnown = true;
@@ -80,32 +80,32 @@
         peer.zone = member.zone;
         peer.listed = true;
     }
-    auto forgotten = this->tick.now - peerRetention;
-    std::erase_if(
-        tables.peers, [&](const auto& entry) { return !entry.second.listed && entry.second.heardAt < forgotten; });
+    auto forgetBefore = this->tick.now - peerRetention;
+    std::erase_if(tables.peers,
+        [&](const auto& entry) { return !entry.second.listed && entry.second.lastSeenAt < forgetBefore; });
 }
 
-Instant FreshnessFence::zonesHeardUntil() const
+Instant FreshnessFence::zoneContactEnd() const
 {
     const auto& tables = this->tick.tables;
-    std::map<ZoneId, Instant> heardByZone;
+    std::map<ZoneId, Instant> lastSeenByZone;
     for (const auto& [incarnation, peer] : tables.peers) {
         if (peer.zone == tables.self.zone)
             continue;
-        auto& heardAt = heardByZone.try_emplace(peer.zone, Instant::min()).first->second;
-        heardAt = std::max(heardAt, peer.heardAt);
+        auto& lastSeenAt = lastSeenByZone.try_emplace(peer.zone, Instant::min()).first->second;
+        lastSeenAt = std::max(lastSeenAt, peer.lastSeenAt);
     }
-    if (heardByZone.empty())
+    if (lastSeenByZone.empty())
         return Instant::min();
     auto earliest = Instant::max();
-    for (const auto& [zone, heardAt] : heardByZone)
-        earliest = std::min(earliest, heardAt);
-    return withBound(earliest);
+    for (const auto& [zone, lastSeenAt] : lastSeenByZone)
+        earliest = std::min(earliest, lastSeenAt);
+    return freshUntil(earliest);
 }
 
 Instant FreshnessFence::contactEnd() const
 {
-    return std::max(withBound(this->tick.tables.confirmedAt), this->zonesHeardUntil());
+    return std::max(freshUntil(this->tick.tables.confirmedAt), this->zoneContactEnd());
 }
 
 Instant FreshnessFence::permissionEnd() const
@@ -130,7 +130,7 @@
     state.knownRevision = std::max(tables.knownRevision, state.appliedRevision);
     state.confirmationAge = this->ageOf(tables.confirmedAt);
     for (const auto& [incarnation, peer] : tables.peers)
-        state.sightings.push_back(PeerSighting { incarnation, peer.zone, this->ageOf(peer.heardAt) });
+        state.sightings.push_back(PeerSighting { incarnation, peer.zone, this->ageOf(peer.lastSeenAt) });
 }
 
 } // namespace Greengage
--- a/modules/fleet/requests/freshness/FreshnessFence.h
+++ b/modules/fleet/requests/freshness/FreshnessFence.h
@@ -20,9 +20,9 @@
 public:
     explicit FreshnessFence(Tick&);
 
-    void take(const StoreConfirmed&);
-    void take(const PeerHeard&);
-    void take(const MembersListed&);
+    void handle(const StoreConfirmed&);
+    void handle(const PeerHeard&);
+    void handle(const MembersListed&);
 
     /// Instant from which keyed work must not be started.
     Instant permissionEnd() const;
@@ -34,8 +34,8 @@
     void describe(PeerState&) const;
 
 private:
-    void takeSightings(const PeerHeard&);
-    Instant zonesHeardUntil() const;
+    void applyObservations(const PeerHeard&);
+    Instant zoneContactEnd() const;
     Milliseconds ageOf(Instant) const;
 
     Tick& tick;
--- a/modules/fleet/requests/limits/AllotmentPlan.cpp
+++ b/modules/fleet/requests/limits/AllotmentPlan.cpp
@@ -16,7 +16,7 @@
 /// How long the most units in use are remembered before surplus units are handed back.
 constexpr Milliseconds peakWindow { 5000 };
 /// Part of an allotment in use by which it may exceed its fair part before units are handed back.
-constexpr int fairPartTolerance = 8;
+constexpr int fairShareTolerance = 8;
 
 } // namespace
 
@@ -51,21 +51,21 @@
     view.free = team.limit - this->state.book.sumOf(team.name);
     view.running = tables.usageOf(team.name).running;
     view.waiting = tables.usageOf(team.name).waiting;
-    int reach = view.free + view.held;
+    int reachable = view.free + view.held;
     auto daemons = this->demand.ofTeam(team.name);
-    view.equalPart = team.limit / this->countMembers(daemons.size());
+    view.equalShare = team.limit / this->countMembers(daemons.size());
     std::vector<double> demands;
-    auto own = this->demand.ownPlace();
+    auto own = this->demand.ownIndex();
     for (const auto& daemon : daemons) {
         bool isPeer = daemon.incarnation != tables.self.incarnation;
         view.peersWaiting += isPeer ? daemon.waiting : 0;
         view.peerStarves = view.peerStarves || (isPeer && this->starves(daemon, view));
-        reach += isPeer ? this->state.book.unitsOf(team.name, daemon.incarnation) : 0;
+        reachable += isPeer ? this->state.book.unitsOf(team.name, daemon.incarnation) : 0;
         demands.push_back(daemon.running + daemon.waiting);
     }
     double total = std::accumulate(demands.begin(), demands.end(), 0.0);
-    view.isShort = total > reach;
-    view.fairPart = view.isShort ? divideByWeight(reach, demands)[own] : reach;
+    view.isShort = total > reachable;
+    view.fairShare = view.isShort ? divideByWeight(reachable, demands)[own] : reachable;
     return view;
 }
 
@@ -78,12 +78,12 @@
 
 bool AllotmentPlan::starves(const DaemonDemand& daemon, const TeamDemandView& view) const
 {
-    return daemon.waiting > 0 && 2 * this->state.book.unitsOf(view.team, daemon.incarnation) < view.equalPart;
+    return daemon.waiting > 0 && 2 * this->state.book.unitsOf(view.team, daemon.incarnation) < view.equalShare;
 }
 
 void AllotmentPlan::capStarts(const TeamDemandView& view) const
 {
-    this->state.teams[view.team].startCap = view.mustShare() ? view.fairPart : std::numeric_limits<int>::max();
+    this->state.teams[view.team].startCap = view.mustShare() ? view.fairShare : std::numeric_limits<int>::max();
 }
 
 int AllotmentPlan::plan(const Team& team) const
@@ -94,29 +94,29 @@
         return std::min(view.held, view.running + (this->tick.tables.shuttingDown ? view.waiting : 0));
     if (view.waiting > 0 || view.peersWaiting > 0)
         return this->unitsWhenShort(view);
-    return this->unitsWhenQuiet(view);
+    return this->unitsWhenIdle(view);
 }
 
 int AllotmentPlan::unitsWhenShort(const TeamDemandView& view) const
 {
     int wanted = view.running + view.waiting;
-    int afterCap = std::max(view.running, view.fairPart);
+    int afterCap = std::max(view.running, view.fairShare);
     if (view.mustShare() && view.held > afterCap)
         return afterCap;
     if (wanted > view.held) {
-        int most = view.isShort ? std::max(view.held, view.fairPart) : view.limit;
+        int most = view.isShort ? std::max(view.held, view.fairShare) : view.limit;
         return std::max(view.held, std::min({ wanted, most, view.held + view.free }));
     }
     int missing = view.peersWaiting - view.free;
-    int kept = std::max(view.running, view.isShort ? view.fairPart + view.fairPart / fairPartTolerance : wanted);
+    int kept = std::max(view.running, view.isShort ? view.fairShare + view.fairShare / fairShareTolerance : wanted);
     if (missing <= 0 || view.held <= kept)
         return view.held;
     return view.held - std::min(missing, view.held - kept);
 }
 
-int AllotmentPlan::unitsWhenQuiet(const TeamDemandView& view) const
+int AllotmentPlan::unitsWhenIdle(const TeamDemandView& view) const
 {
-    int reserve = (view.equalPart + 1) / 2;
+    int reserve = (view.equalShare + 1) / 2;
     auto& recent = this->state.teams[view.team];
     if (recent.windowEnd == Deadline::never()) {
         recent.peak = view.held;
--- a/modules/fleet/requests/limits/AllotmentPlan.h
+++ b/modules/fleet/requests/limits/AllotmentPlan.h
@@ -31,7 +31,7 @@
     /// Stops the use of units beyond the fair part while a peer starves, so that they come free and can be handed back.
     void capStarts(const TeamDemandView&) const;
     int unitsWhenShort(const TeamDemandView&) const;
-    int unitsWhenQuiet(const TeamDemandView&) const;
+    int unitsWhenIdle(const TeamDemandView&) const;
 
     Tick& tick;
     EscrowState& state;
--- a/modules/fleet/requests/limits/EscrowState.h
+++ b/modules/fleet/requests/limits/EscrowState.h
@@ -2,7 +2,7 @@
 
 #include <core/time/Deadline.h>
 #include <fleet/requests/limits/AllotmentBook.h>
-#include <fleet/requests/limits/DeadIncarnation.h>
+#include <fleet/requests/limits/ExpiredIncarnation.h>
 #include <fleet/requests/limits/TeamEscrow.h>
 
 #include <cstdint>
@@ -41,7 +41,7 @@
     /// Until then the allotments are planned anew only if somebody waits for units.
     Deadline quietUntil;
     std::map<TeamId, TeamEscrow> teams;
-    std::map<IncarnationId, DeadIncarnation> dead;
+    std::map<IncarnationId, ExpiredIncarnation> expired;
     /// When a daemon that shuts down stops waiting for its allotments to be handed back.
     Deadline handBackBy = Deadline::never();
 };
--- a/modules/fleet/requests/limits/DeadAllotments.cpp
+++ b/modules/fleet/requests/limits/ExpiredAllotments.cpp
@@ -1,4 +1,4 @@
-#include <fleet/requests/limits/DeadAllotments.h>
+#include <fleet/requests/limits/ExpiredAllotments.h>
 
 #include <algorithm>
 #include <fleet/requests/messages/RunningReported.h>
@@ -17,13 +17,13 @@
 
 } // namespace
 
-DeadAllotments::DeadAllotments(Tick& tick)
+ExpiredAllotments::ExpiredAllotments(Tick& tick)
     : tick(tick)
     , state(tick.tables.escrow)
 {
 }
 
-bool DeadAllotments::isGone(const IncarnationId& incarnation) const
+bool ExpiredAllotments::isExpired(const IncarnationId& incarnation) const
 {
     const auto& tables = this->tick.tables;
     if (incarnation == tables.self.incarnation || !tables.membersKnown)
@@ -32,10 +32,10 @@
     if (found == tables.peers.end())
         return true;
     const auto& peer = found->second;
-    return !peer.listed && (peer.heardAt == Instant::min() || peer.heardAt < this->tick.now - contactBound);
+    return !peer.listed && (peer.lastSeenAt == Instant::min() || peer.lastSeenAt < this->tick.now - contactBound);
 }
 
-bool DeadAllotments::isResponsible() const
+bool ExpiredAllotments::isResponsible() const
 {
     const auto& tables = this->tick.tables;
     auto recent = this->tick.now - contactBound;
@@ -43,20 +43,20 @@
         return false;
     return std::all_of(tables.peers.begin(), tables.peers.end(), [&](const auto& entry) {
         const auto& [incarnation, peer] = entry;
-        return !peer.listed || (peer.heardAt >= recent && tables.self.incarnation < incarnation);
+        return !peer.listed || (peer.lastSeenAt >= recent && tables.self.incarnation < incarnation);
     });
 }
 
-void DeadAllotments::askEndpoints()
+void ExpiredAllotments::askEndpoints()
 {
-    auto& dead = this->state.dead;
-    std::erase_if(dead, [&](const auto& entry) { return !this->isGone(entry.first); });
+    auto& expired = this->state.expired;
+    std::erase_if(expired, [&](const auto& entry) { return !this->isExpired(entry.first); });
     bool due = false;
     for (const auto& incarnation : this->state.book.incarnations()) {
-        if (!this->isGone(incarnation))
+        if (!this->isExpired(incarnation))
             continue;
-        DeadIncarnation found { Deadline::after(this->tick.now, reclaimDelay), {} };
-        auto row = dead.try_emplace(incarnation, found).first;
+        ExpiredIncarnation found { Deadline::after(this->tick.now, reclaimDelay), {} };
+        auto row = expired.try_emplace(incarnation, found).first;
         due = due || row->second.reclaimFrom.hasPassed(this->tick.now);
     }
     if (!due || !this->isResponsible())
@@ -69,9 +69,9 @@
     }
 }
 
-void DeadAllotments::take(const RunningReported& report)
+void ExpiredAllotments::handle(const RunningReported& report)
 {
-    for (auto& [incarnation, row] : this->state.dead) {
+    for (auto& [incarnation, row] : this->state.expired) {
         if (!row.reclaimFrom.hasPassed(report.askedAt))
             continue;
         auto& counts = row.reports[report.endpoint];
@@ -83,7 +83,7 @@
     }
 }
 
-int DeadAllotments::stillRunning(const DeadIncarnation& row, const TeamId& team) const
+int ExpiredAllotments::countRunning(const ExpiredIncarnation& row, const TeamId& team) const
 {
     int running = 0;
     for (const auto& [id, endpoint] : this->tick.tables.endpoints) {
@@ -100,16 +100,16 @@
     return running;
 }
 
-void DeadAllotments::reclaim(AllotmentBook& draft) const
+void ExpiredAllotments::reclaim(AllotmentBook& draft) const
 {
     if (!this->isResponsible())
         return;
-    for (const auto& [incarnation, row] : this->state.dead) {
+    for (const auto& [incarnation, row] : this->state.expired) {
         if (!row.reclaimFrom.hasPassed(this->tick.now))
             continue;
         for (const auto& team : draft.teamsOf(incarnation)) {
             int units = draft.unitsOf(team, incarnation);
-            draft.assign(team, incarnation, std::min(units, this->stillRunning(row, team)));
+            draft.assign(team, incarnation, std::min(units, this->countRunning(row, team)));
         }
     }
 }
--- a/modules/fleet/requests/limits/DeadAllotments.h
+++ b/modules/fleet/requests/limits/ExpiredAllotments.h
@@ -6,27 +6,27 @@
 namespace Greengage {
 
 class AllotmentBook;
-struct DeadIncarnation;
+struct ExpiredIncarnation;
 struct EscrowState;
 struct RunningReported;
 
 /// Reclaims the allotments of incarnations that have died. Such an allotment stays reserved until the incarnation has
 /// been neither listed nor heard for so long that it holds its own allotment void, and then shrinks to the work that
 /// the endpoints still report. An endpoint that has not reported counts as full of it.
-class DeadAllotments {
+class ExpiredAllotments {
 public:
-    explicit DeadAllotments(Tick&);
+    explicit ExpiredAllotments(Tick&);
 
-    void take(const RunningReported&);
+    void handle(const RunningReported&);
     /// Finds dead incarnations, and asks endpoints if this daemon is the one to reclaim.
     void askEndpoints();
     void reclaim(AllotmentBook&) const;
 
 private:
-    bool isGone(const IncarnationId&) const;
+    bool isExpired(const IncarnationId&) const;
     /// Whether this daemon is in touch with the store and every listed peer, and comes first among them.
     bool isResponsible() const;
-    int stillRunning(const DeadIncarnation&, const TeamId&) const;
+    int countRunning(const ExpiredIncarnation&, const TeamId&) const;
 
     Tick& tick;
     EscrowState& state;
--- a/modules/fleet/requests/limits/DeadIncarnation.h
+++ b/modules/fleet/requests/limits/ExpiredIncarnation.h
@@ -9,7 +9,7 @@
 namespace Greengage {
 
 /// An incarnation that holds allotments and is neither listed nor heard any more.
-struct DeadIncarnation {
+struct ExpiredIncarnation {
     /// From then on it can start nothing, and reports of endpoints count.
     Deadline reclaimFrom;
     std::map<VmId, EndpointReport> reports;
--- a/modules/fleet/requests/limits/LimitEscrow.cpp
+++ b/modules/fleet/requests/limits/LimitEscrow.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <fleet/requests/freshness/FreshnessFence.h>
 #include <fleet/requests/limits/AllotmentPlan.h>
-#include <fleet/requests/limits/DeadAllotments.h>
+#include <fleet/requests/limits/ExpiredAllotments.h>
 #include <fleet/requests/messages/AllotmentsRead.h>
 #include <fleet/requests/messages/AllotmentsWriteFailed.h>
 #include <fleet/requests/messages/MembersListed.h>
@@ -26,8 +26,8 @@
 
 Milliseconds retryDelay(int failedWrites)
 {
-    auto doubled = firstRetryDelay * (1 << std::min(failedWrites, 4));
-    return std::min(doubled, longestRetryDelay);
+    auto delay = firstRetryDelay * (1 << std::min(failedWrites, 4));
+    return std::min(delay, longestRetryDelay);
 }
 
 } // namespace
@@ -45,7 +45,7 @@
         this->state.isVoid = true;
 }
 
-void LimitEscrow::take(const MembersListed& listed)
+void LimitEscrow::handle(const MembersListed& listed)
 {
     const auto& self = this->tick.tables.self.incarnation;
     this->state.isMember = std::any_of(listed.members.begin(), listed.members.end(),
@@ -60,7 +60,7 @@
     return read.ownWrite || (!this->state.writeUnderWay && read.version > this->state.writeExpects);
 }
 
-void LimitEscrow::take(const AllotmentsRead& read)
+void LimitEscrow::handle(const AllotmentsRead& read)
 {
     if (this->settlesOlderWrites(read)) {
         this->state.unsettled = false;
@@ -83,7 +83,7 @@
     this->state.nextWriteAt = Deadline::after(this->tick.now, writeInterval);
 }
 
-void LimitEscrow::take(const AllotmentsWriteFailed& failed)
+void LimitEscrow::handle(const AllotmentsWriteFailed& failed)
 {
     this->state.writeUnderWay = false;
     this->state.unsettled = this->state.unsettled || failed.mayHaveTakenEffect;
@@ -101,7 +101,7 @@
 int LimitEscrow::usableUnits(const TeamId& team) const
 {
     if (this->tick.tables.policy.limits == LimitSplit::EqualParts)
-        return this->equalPart(team);
+        return this->equalShare(team);
     if (!this->state.readable || this->state.isVoid)
         return 0;
     int units = this->state.book.unitsOf(team, this->tick.tables.self.incarnation);
@@ -109,7 +109,7 @@
     return ceiling == this->state.ceilings.end() ? units : std::min(units, ceiling->second);
 }
 
-int LimitEscrow::equalPart(const TeamId& name) const
+int LimitEscrow::equalShare(const TeamId& name) const
 {
     const auto& peers = this->tick.tables.peers;
     auto listed = std::count_if(peers.begin(), peers.end(), [](const auto& entry) { return entry.second.listed; });
@@ -125,34 +125,35 @@
     if (this->state.book.sumOf(name) > team->limit)
         return false;
     int units = this->usableUnits(name);
-    auto recent = this->state.teams.find(name);
-    if (recent != this->state.teams.end())
-        units = std::min(units, recent->second.startCap);
+    auto teamEscrow = this->state.teams.find(name);
+    if (teamEscrow != this->state.teams.end())
+        units = std::min(units, teamEscrow->second.startCap);
     return this->tick.tables.usageOf(name).running < units;
 }
 
 void LimitEscrow::run()
 {
     this->state.contactEnd = FreshnessFence(this->tick).contactEnd();
-    this->noteShutdown();
-    DeadAllotments(this->tick).askEndpoints();
+    this->updateShutdownState();
+    ExpiredAllotments(this->tick).askEndpoints();
     bool mayWrite = this->state.readable && !this->state.writeUnderWay && this->tick.tables.document
         && this->state.nextWriteAt.hasPassed(this->tick.now) && this->state.nextPlanAt.hasPassed(this->tick.now);
-    if (mayWrite && (this->state.quietUntil.hasPassed(this->tick.now) || this->isWanted()))
+    if (mayWrite && (this->state.quietUntil.hasPassed(this->tick.now) || this->needsPlan()))
         this->write();
 }
 
-bool LimitEscrow::isWanted() const
+bool LimitEscrow::needsPlan() const
 {
     const auto& tables = this->tick.tables;
     if (tables.shuttingDown || this->state.isVoid || this->state.unsettled)
         return true;
     auto waits = [](const auto& entry) { return entry.second.waiting > 0; };
-    if (std::any_of(tables.lines.begin(), tables.lines.end(), waits))
+    if (std::any_of(tables.teamQueues.begin(), tables.teamQueues.end(), waits))
         return true;
     auto peerWaits = [](const auto& entry) {
         const auto& demand = entry.second.state.demand;
-        return std::any_of(demand.begin(), demand.end(), [](const TeamDemand& line) { return line.waiting > 0; });
+        return std::any_of(
+            demand.begin(), demand.end(), [](const TeamDemand& teamDemand) { return teamDemand.waiting > 0; });
     };
     return std::any_of(tables.peers.begin(), tables.peers.end(), peerWaits);
 }
@@ -162,7 +163,7 @@
     const auto& self = this->tick.tables.self.incarnation;
     this->state.nextPlanAt = Deadline::after(this->tick.now, planInterval);
     auto draft = AllotmentPlan(this->tick).draft();
-    DeadAllotments(this->tick).reclaim(draft);
+    ExpiredAllotments(this->tick).reclaim(draft);
     bool mustWrite = this->state.isVoid || this->state.unsettled;
     if (draft == this->state.book && !mustWrite) {
         this->state.quietUntil = Deadline::after(this->tick.now, quietPlanInterval);
@@ -181,7 +182,7 @@
     this->tick.outbox.emplace_back(UpdateAllotments { this->state.version, draft.format() });
 }
 
-void LimitEscrow::noteShutdown()
+void LimitEscrow::updateShutdownState()
 {
     auto& tables = this->tick.tables;
     if (!tables.shuttingDown || !tables.requests.empty())
--- a/modules/fleet/requests/limits/LimitEscrow.h
+++ b/modules/fleet/requests/limits/LimitEscrow.h
@@ -21,9 +21,9 @@
     /// Makes the allotments void if contact was lost for so long that others may have reclaimed them. Comes first in
     /// a tick, before newer messages restore the contact.
     void checkContact();
-    void take(const AllotmentsRead&);
-    void take(const AllotmentsWriteFailed&);
-    void take(const MembersListed&);
+    void handle(const AllotmentsRead&);
+    void handle(const AllotmentsWriteFailed&);
+    void handle(const MembersListed&);
     /// Notes the end of contact, and writes what has to change. Comes last in a tick.
     void run();
 
@@ -33,12 +33,12 @@
     int usableUnits(const TeamId&) const;
 
 private:
-    int equalPart(const TeamId&) const;
+    int equalShare(const TeamId&) const;
     bool settlesOlderWrites(const AllotmentsRead&) const;
     /// Whether units may be needed or are to be handed back before the next quiet plan.
-    bool isWanted() const;
+    bool needsPlan() const;
     void write();
-    void noteShutdown();
+    void updateShutdownState();
     /// Whether only units of work whose end is not known are left.
     bool hasHandedBack() const;
 
--- a/modules/fleet/requests/limits/TeamDemandView.h
+++ b/modules/fleet/requests/limits/TeamDemandView.h
@@ -19,9 +19,9 @@
     /// Whether requests wait at a live peer that holds less than half of an equal part.
     bool peerStarves = false;
     /// This daemon's part of the limit by demand.
-    int fairPart = 0;
+    int fairShare = 0;
     /// This daemon's part of the limit, rounded down, if all daemons had the same demand.
-    int equalPart = 0;
+    int equalShare = 0;
     /// Whether the demand of all live daemons exceeds the limit.
     bool isShort = false;
 
--- a/modules/fleet/requests/sharing/LiveDemand.cpp
+++ b/modules/fleet/requests/sharing/LiveDemand.cpp
@@ -12,8 +12,8 @@
 
 bool isLive(const PeerRow& peer, Instant now)
 {
-    bool heard = peer.spokenAt != Instant::min() && now - peer.spokenAt < demandRetention;
-    return heard && !peer.state.shuttingDown;
+    bool isRecent = peer.directlySeenAt != Instant::min() && now - peer.directlySeenAt < demandRetention;
+    return isRecent && !peer.state.shuttingDown;
 }
 
 } // namespace
@@ -30,16 +30,16 @@
         this->incarnations.push_back(incarnation);
     }
     std::sort(this->incarnations.begin(), this->incarnations.end());
-    auto placeOf = [&](const IncarnationId& incarnation) {
+    auto indexOf = [&](const IncarnationId& incarnation) {
         auto found = std::lower_bound(this->incarnations.begin(), this->incarnations.end(), incarnation);
         return static_cast<std::size_t>(found - this->incarnations.begin());
     };
-    this->own = placeOf(tables.self.incarnation);
-    for (const auto& [key, line] : tables.lines)
-        this->add(tick, this->own, key.queue, key.team, line.running, line.waiting);
+    this->ownPosition = indexOf(tables.self.incarnation);
+    for (const auto& [key, entry] : tables.teamQueues)
+        this->add(tick, this->ownPosition, key.queue, key.team, entry.running, entry.waiting);
     for (const auto* peer : peers) {
-        for (const auto& line : peer->state.demand)
-            this->add(tick, placeOf(peer->state.incarnation), line.queue, line.team, line.running, line.waiting);
+        for (const auto& entry : peer->state.demand)
+            this->add(tick, indexOf(peer->state.incarnation), entry.queue, entry.team, entry.running, entry.waiting);
     }
 }
 
@@ -52,13 +52,13 @@
 }
 
 void LiveDemand::add(
-    const Tick& tick, std::size_t place, const QueueId& name, const TeamId& team, int running, int waiting)
+    const Tick& tick, std::size_t index, const QueueId& name, const TeamId& team, int running, int waiting)
 {
     auto addTo = [&](std::vector<DaemonDemand>& list) {
         if (list.empty())
             list = this->emptyList();
-        list[place].running += running;
-        list[place].waiting += waiting;
+        list[index].running += running;
+        list[index].waiting += waiting;
     };
     if (running == 0 && waiting == 0)
         return;
--- a/modules/fleet/requests/sharing/LiveDemand.h
+++ b/modules/fleet/requests/sharing/LiveDemand.h
@@ -21,14 +21,14 @@
     /// Running requests of all daemons together, for each team and service that has any.
     const std::map<ServiceTeam, int>& running() const { return this->runningTotals; }
     /// This daemon's place in the lists.
-    std::size_t ownPlace() const { return this->own; }
+    std::size_t ownIndex() const { return this->ownPosition; }
 
 private:
-    void add(const Tick&, std::size_t place, const QueueId&, const TeamId&, int running, int waiting);
+    void add(const Tick&, std::size_t index, const QueueId&, const TeamId&, int running, int waiting);
     std::vector<DaemonDemand> emptyList() const;
 
     std::vector<IncarnationId> incarnations;
-    std::size_t own = 0;
+    std::size_t ownPosition = 0;
     std::map<TeamId, std::vector<DaemonDemand>> byTeam;
     std::map<ServiceId, std::vector<DaemonDemand>> byService;
     std::map<ServiceTeam, int> runningTotals;
--- a/modules/fleet/requests/sharing/SlotShares.cpp
+++ b/modules/fleet/requests/sharing/SlotShares.cpp
@@ -54,18 +54,18 @@
         if (endpoint.open && endpoint.service == service)
             endpoints.push_back(id);
     }
-    auto& mine = this->shares[service];
+    auto& ownSlots = this->shares[service];
     std::vector<int> demands;
     for (const auto& daemon : this->demand.ofService(service))
         demands.push_back(daemon.running + daemon.waiting);
-    auto own = this->demand.ownPlace();
+    auto own = this->demand.ownIndex();
     if (endpoints.empty())
         return;
     auto parts = divide(slotsPerEndpoint * static_cast<int>(endpoints.size()), demands);
     // The slots are counted endpoint by endpoint in rounds, and each daemon takes the next ones in its turn.
     auto first = std::accumulate(parts.begin(), parts.begin() + static_cast<std::ptrdiff_t>(own), 0);
     for (int slot = first; slot < first + parts[own]; ++slot)
-        mine[endpoints[static_cast<std::size_t>(slot) % endpoints.size()]] += 1;
+        ownSlots[endpoints[static_cast<std::size_t>(slot) % endpoints.size()]] += 1;
 }
 
 } // namespace Greengage
--- a/modules/fleet/requests/tables/PeerRow.h
+++ b/modules/fleet/requests/tables/PeerRow.h
@@ -12,9 +12,9 @@
     /// Whether the last membership read from the store named it.
     bool listed = false;
     /// When it was last known to be alive, directly or through others.
-    Instant heardAt = Instant::min();
+    Instant lastSeenAt = Instant::min();
     /// When it last spoke to us itself, and what it said.
-    Instant spokenAt = Instant::min();
+    Instant directlySeenAt = Instant::min();
     PeerState state;
 };
 
--- a/modules/fleet/requests/tables/RequestLifecycle.cpp
+++ b/modules/fleet/requests/tables/RequestLifecycle.cpp
@@ -2,7 +2,7 @@
 
 #include <core/checks/Assertion.h>
 #include <fleet/requests/admission/RetryAdvice.h>
-#include <fleet/requests/claims/Claims.h>
+#include <fleet/requests/claims/ClaimManager.h>
 #include <fleet/requests/tables/RequestTables.h>
 
 namespace Greengage {
@@ -19,12 +19,12 @@
 {
 }
 
-void RequestLifecycle::count(const WorkLineKey& key, int waiting, int running)
+void RequestLifecycle::count(const TeamQueueKey& key, int waiting, int running)
 {
-    auto& line = this->tick.tables.lines[key];
-    line.waiting += waiting;
-    line.running += running;
-    assertInvariant(line.waiting >= 0 && line.running >= 0, "counts of a line are not negative");
+    auto& teamQueue = this->tick.tables.teamQueues[key];
+    teamQueue.waiting += waiting;
+    teamQueue.running += running;
+    assertInvariant(teamQueue.waiting >= 0 && teamQueue.running >= 0, "counts of a line are not negative");
     auto& usage = this->tick.tables.usage[key.team];
     usage.waiting += waiting;
     usage.running += running;
@@ -32,8 +32,8 @@
 
 void RequestLifecycle::enqueue(RequestRow row)
 {
-    WorkLineKey key { row.queue, row.team };
-    this->tick.tables.lines[key].order.push_back(row.id);
+    TeamQueueKey key { row.queue, row.team };
+    this->tick.tables.teamQueues[key].order.push_back(row.id);
     this->count(key, 1, 0);
     this->tick.tables.deadlines.emplace(row.deadline.at(), row.id);
     auto id = row.id;
@@ -46,14 +46,14 @@
     row.stage = RequestStage::Waiting;
     row.endpoint = VmId();
     this->tick.tables.deadlines.emplace(row.deadline.at(), row.id);
-    WorkLineKey key { row.queue, row.team };
-    this->tick.tables.lines[key].order.push_front(row.id);
+    TeamQueueKey key { row.queue, row.team };
+    this->tick.tables.teamQueues[key].order.push_front(row.id);
     this->count(key, 1, 0);
 }
 
 void RequestLifecycle::start(RequestRow& row, const VmId& endpoint)
 {
-    this->count(WorkLineKey { row.queue, row.team }, -1, 1);
+    this->count(TeamQueueKey { row.queue, row.team }, -1, 1);
     row.stage = RequestStage::Sent;
     row.endpoint = endpoint;
     this->tick.tables.endpoints.at(endpoint).running += 1;
@@ -61,12 +61,12 @@
 
 void RequestLifecycle::release(const RequestRow& row)
 {
-    this->release(WorkLineKey { row.queue, row.team }, row.endpoint);
+    this->release(TeamQueueKey { row.queue, row.team }, row.endpoint);
 }
 
-void RequestLifecycle::release(const UnknownWork& work) { this->release(work.line, work.endpoint); }
+void RequestLifecycle::release(const UnknownWork& work) { this->release(work.teamQueue, work.endpoint); }
 
-void RequestLifecycle::release(const WorkLineKey& key, const VmId& endpoint)
+void RequestLifecycle::release(const TeamQueueKey& key, const VmId& endpoint)
 {
     this->count(key, 0, -1);
     auto found = this->tick.tables.endpoints.find(endpoint);
@@ -80,7 +80,7 @@
 {
     row.mayHaveRun = true;
     this->tick.tables.unknownWork.push_back(
-        UnknownWork { row.id, WorkLineKey { row.queue, row.team }, row.endpoint, this->tick.now + settlementDelay });
+        UnknownWork { row.id, TeamQueueKey { row.queue, row.team }, row.endpoint, this->tick.now + settlementDelay });
 }
 
 void RequestLifecycle::refuse(RequestRow& row, OutcomeReason reason)
@@ -91,11 +91,11 @@
 void RequestLifecycle::finish(RequestRow& row, Outcome outcome, OutcomeReason reason, Milliseconds retryAfter)
 {
     if (row.stage == RequestStage::Waiting)
-        this->count(WorkLineKey { row.queue, row.team }, -1, 0);
+        this->count(TeamQueueKey { row.queue, row.team }, -1, 0);
     if (!row.callerLeft)
         this->tick.outbox.push_back(AnswerCaller { row.id, outcome, reason, row.attempts, retryAfter, row.team });
     if (outcome == Outcome::NotRun)
-        Claims(this->tick).keepUnused(row);
+        ClaimManager(this->tick).retainUnused(row);
     this->tick.tables.requests.erase(RequestId(row.id));
 }
 
--- a/modules/fleet/requests/tables/RequestLifecycle.h
+++ b/modules/fleet/requests/tables/RequestLifecycle.h
@@ -8,7 +8,7 @@
 
 struct RequestRow;
 struct UnknownWork;
-struct WorkLineKey;
+struct TeamQueueKey;
 
 /// The moves of a request from stage to stage. It keeps the counts of lines and endpoints in step with the rows.
 class RequestLifecycle {
@@ -34,8 +34,8 @@
     void finish(RequestRow&, Outcome, OutcomeReason, Milliseconds retryAfter = {});
 
 private:
-    void release(const WorkLineKey&, const VmId& endpoint);
-    void count(const WorkLineKey&, int waiting, int running);
+    void release(const TeamQueueKey&, const VmId& endpoint);
+    void count(const TeamQueueKey&, int waiting, int running);
 
     Tick& tick;
 };
--- a/modules/fleet/requests/tables/RequestTables.cpp
+++ b/modules/fleet/requests/tables/RequestTables.cpp
@@ -34,7 +34,7 @@
     return found == this->usage.end() ? TeamUsage {} : found->second;
 }
 
-bool RequestTables::isAnyWaiting() const
+bool RequestTables::hasWaitingRequests() const
 {
     return std::any_of(
         this->usage.begin(), this->usage.end(), [](const auto& entry) { return entry.second.waiting > 0; });
--- a/modules/fleet/requests/tables/RequestTables.h
+++ b/modules/fleet/requests/tables/RequestTables.h
@@ -11,10 +11,10 @@
 #include <fleet/requests/tables/PeerRow.h>
 #include <fleet/requests/tables/RequestRow.h>
 #include <fleet/requests/tables/RunTimeEstimate.h>
+#include <fleet/requests/tables/TeamQueue.h>
+#include <fleet/requests/tables/TeamQueueKey.h>
 #include <fleet/requests/tables/TeamUsage.h>
 #include <fleet/requests/tables/UnknownWork.h>
-#include <fleet/requests/tables/WorkLine.h>
-#include <fleet/requests/tables/WorkLineKey.h>
 
 #include <cstdint>
 #include <map>
@@ -38,7 +38,7 @@
     std::map<RequestId, RequestRow> requests;
     /// Requests by the instant at which their deadline passes; may name requests that have ended.
     std::multimap<Instant, RequestId> deadlines;
-    std::map<WorkLineKey, WorkLine> lines;
+    std::map<TeamQueueKey, TeamQueue> teamQueues;
     std::map<IncarnationId, PeerRow> peers;
     /// Whether the membership has ever been read from the store.
     bool membersKnown = false;
@@ -73,7 +73,7 @@
     const Team* findTeam(const TeamId&) const;
 
     TeamUsage usageOf(const TeamId&) const;
-    bool isAnyWaiting() const;
+    bool hasWaitingRequests() const;
 };
 
 } // namespace Greengage
--- a/modules/fleet/requests/tables/RunTimeEstimate.cpp
+++ b/modules/fleet/requests/tables/RunTimeEstimate.cpp
@@ -4,25 +4,25 @@
 
 void RunTimeEstimate::add(Microseconds runTime)
 {
-    this->middle.add(runTime);
-    this->high.add(runTime);
+    this->medianEstimate.add(runTime);
+    this->percentile95Estimate.add(runTime);
 }
 
 void RunTimeEstimate::addUnanswered(Microseconds elapsed)
 {
-    auto longer = elapsed + Microseconds(1);
-    if (elapsed >= this->middle.value())
-        this->middle.add(longer);
-    if (elapsed >= this->high.value())
-        this->high.add(longer);
+    auto lowerBound = elapsed + Microseconds(1);
+    if (elapsed >= this->medianEstimate.value())
+        this->medianEstimate.add(lowerBound);
+    if (elapsed >= this->percentile95Estimate.value())
+        this->percentile95Estimate.add(lowerBound);
 }
 
-Microseconds RunTimeEstimate::timeToLeave(Microseconds whole) const
+Microseconds RunTimeEstimate::requiredTime(Microseconds total) const
 {
-    if (this->high.value() <= whole)
-        return this->high.value();
-    if (this->middle.value() <= whole)
-        return this->middle.value();
+    if (this->percentile95Estimate.value() <= total)
+        return this->percentile95Estimate.value();
+    if (this->medianEstimate.value() <= total)
+        return this->medianEstimate.value();
     return Microseconds::zero();
 }
 
--- a/modules/fleet/requests/tables/RunTimeEstimate.h
+++ b/modules/fleet/requests/tables/RunTimeEstimate.h
@@ -13,14 +13,14 @@
     void addUnanswered(Microseconds);
 
     /// Zero until the first answer.
-    Microseconds median() const { return this->middle.value(); }
+    Microseconds median() const { return this->medianEstimate.value(); }
     /// How much time must be left for a request to be worth sending that had `whole` on arrival: enough for most
     /// answers, or for half of them if most take longer than the whole time. Zero if even these do.
-    Microseconds timeToLeave(Microseconds whole) const;
+    Microseconds requiredTime(Microseconds total) const;
 
 private:
-    QuantileEstimate middle { 50 };
-    QuantileEstimate high { 95 };
+    QuantileEstimate medianEstimate { 50 };
+    QuantileEstimate percentile95Estimate { 95 };
 };
 
 } // namespace Greengage
--- a/modules/fleet/requests/tables/WorkLine.h
+++ b/modules/fleet/requests/tables/TeamQueue.h
@@ -7,7 +7,7 @@
 namespace Greengage {
 
 /// The work of one team on one queue in this daemon, in order of arrival.
-struct WorkLine {
+struct TeamQueue {
     /// Requests to be started. Ids of requests that no longer wait are passed over when they reach the front.
     std::deque<RequestId> order;
     /// How many requests wait.
--- a/modules/fleet/requests/tables/WorkLineKey.h
+++ b/modules/fleet/requests/tables/TeamQueueKey.h
@@ -5,11 +5,11 @@
 namespace Greengage {
 
 /// Names the work of one team on one queue.
-struct WorkLineKey {
+struct TeamQueueKey {
     QueueId queue;
     TeamId team;
 
-    friend auto operator<=>(const WorkLineKey&, const WorkLineKey&) = default;
+    friend auto operator<=>(const TeamQueueKey&, const TeamQueueKey&) = default;
 };
 
 } // namespace Greengage
--- a/modules/fleet/requests/tables/UnknownWork.h
+++ b/modules/fleet/requests/tables/UnknownWork.h
@@ -2,7 +2,7 @@
 
 #include <core/text/Identifier.h>
 #include <core/time/Instant.h>
-#include <fleet/requests/tables/WorkLineKey.h>
+#include <fleet/requests/tables/TeamQueueKey.h>
 
 namespace Greengage {
 
@@ -10,7 +10,7 @@
 /// endpoint reports that it does not run the request.
 struct UnknownWork {
     RequestId request;
-    WorkLineKey line;
+    TeamQueueKey teamQueue;
     VmId endpoint;
     /// A report counts if it was asked for after this instant, so that bytes still under way have arrived.
     Instant settlesAfter;
--- a/modules/fleet/tests/ClaimTests.cpp
+++ b/modules/fleet/tests/ClaimTests.cpp
@@ -25,7 +25,7 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(Claiming, ClaimFixture)
+BOOST_FIXTURE_TEST_SUITE(RequestClaims, ClaimFixture)
 
 BOOST_AUTO_TEST_CASE(nothingIsSentBeforeTheClaimIsWon)
 {
@@ -38,7 +38,7 @@
     BOOST_TEST(pick<SendAttempt>(this->settle("r1", ClaimResult::Won)).empty());
 }
 
-BOOST_AUTO_TEST_CASE(everyOtherSettlementIsATrueNotRun)
+BOOST_AUTO_TEST_CASE(everyOtherClaimResultEndsAsNotRun)
 {
     auto reasonAfter = [&](const std::string& id, ClaimResult result) {
         this->submitOrder(id, "key-" + id);
@@ -54,7 +54,7 @@
     BOOST_TEST(this->plane.describe(this->clock.current()).demand.empty());
 }
 
-BOOST_AUTO_TEST_CASE(claimedWorkIsNeverSentAgainAfterALoss)
+BOOST_AUTO_TEST_CASE(claimedRequestIsNeverResentAfterALostAnswer)
 {
     this->submitOrder("r1", "pallet-7");
     auto attempt = only<SendAttempt>(this->settle("r1", ClaimResult::Won));
@@ -64,7 +64,7 @@
     BOOST_TEST(pick<WriteClaim>(this->submitOrder("r2", "pallet-7")).size() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(unsentWorkGoesOnUnderItsClaimAndLeavesItToTheNextSubmission)
+BOOST_AUTO_TEST_CASE(unsentRequestKeepsItsClaimAndPassesItToTheNextSubmission)
 {
     this->submitOrder("r1", "pallet-7");
     auto first = only<SendAttempt>(this->settle("r1", ClaimResult::Won));
@@ -90,7 +90,7 @@
     BOOST_TEST((only<AnswerCaller>(outputs).reason == OutcomeReason::KeyInvalid));
 }
 
-BOOST_AUTO_TEST_CASE(permissionThatLapsedDuringTheClaimHoldsTheRequestBack)
+BOOST_AUTO_TEST_CASE(permissionExpiredDuringTheClaimDelaysTheRequest)
 {
     this->submitOrder("r1", "pallet-7");
     this->clock.advance(Seconds(3));
@@ -103,7 +103,7 @@
 
 BOOST_AUTO_TEST_SUITE(Orders)
 
-BOOST_AUTO_TEST_CASE(noOrderIsBegunTwiceInRandomSchedules)
+BOOST_AUTO_TEST_CASE(noOrderIsStartedTwiceInRandomSchedules)
 {
     constexpr int seeds = 20;
     int orders = 0;
--- a/modules/fleet/tests/FreshnessTests.cpp
+++ b/modules/fleet/tests/FreshnessTests.cpp
@@ -10,7 +10,7 @@
     FreshnessFixture() { this->startServing(); }
 
     /// Hears a peer that knows the revision and has heard the others just now.
-    void hear(const std::string& incarnation, const std::string& zone, std::uint64_t revision = 1,
+    void receiveState(const std::string& incarnation, const std::string& zone, std::uint64_t revision = 1,
         Milliseconds confirmationAge = Milliseconds::max(), std::vector<PeerSighting> sightings = {})
     {
         PeerState state;
@@ -35,7 +35,7 @@
     }
 
     /// "sent", or the reason for refusing a keyed request that arrives now.
-    std::string tryKeyed()
+    std::string submitKeyed()
     {
         this->requests += 1;
         auto outputs = this->tick(this->makeRequest("t" + std::to_string(this->requests), "quotes", "k1"));
@@ -54,60 +54,60 @@
 
 BOOST_FIXTURE_TEST_SUITE(Freshness, FreshnessFixture)
 
-BOOST_AUTO_TEST_CASE(confirmationPermitsKeyedWorkForThreeSecondsFromTheQuestion)
+BOOST_AUTO_TEST_CASE(confirmationPermitsKeyedWorkForThreeSecondsFromTheRequest)
 {
     this->clock.advance(Milliseconds(2999));
-    BOOST_TEST(this->tryKeyed() == "sent");
+    BOOST_TEST(this->submitKeyed() == "sent");
     BOOST_TEST((this->notAfter.at() == this->clock.current() + Milliseconds(1)));
     this->clock.advance(Milliseconds(1));
-    BOOST_TEST(this->tryKeyed() == "configuration_stale");
+    BOOST_TEST(this->submitKeyed() == "configuration_stale");
     auto open = this->tick(this->makeRequest("o", "open", ""));
     BOOST_TEST(pick<SendAttempt>(open).size() == 1);
     this->tick(StoreConfirmed { this->clock.current() - Milliseconds(3000), 1 });
-    BOOST_TEST(this->tryKeyed() == "configuration_stale");
+    BOOST_TEST(this->submitKeyed() == "configuration_stale");
 }
 
-BOOST_AUTO_TEST_CASE(relayedConfirmationCountsFromItsAge)
+BOOST_AUTO_TEST_CASE(relayedConfirmationExpiresByItsReportedAge)
 {
     this->listMembers();
     this->clock.advance(Seconds(10));
-    this->hear("i2", "z2", 1, Milliseconds(2000));
+    this->receiveState("i2", "z2", 1, Milliseconds(2000));
     this->clock.advance(Milliseconds(999));
-    BOOST_TEST(this->tryKeyed() == "sent");
+    BOOST_TEST(this->submitKeyed() == "sent");
     this->clock.advance(Milliseconds(1));
-    BOOST_TEST(this->tryKeyed() == "configuration_stale");
-    auto told = this->plane.describe(this->clock.current());
-    BOOST_TEST(told.confirmationAge.count() == 3000);
+    BOOST_TEST(this->submitKeyed() == "configuration_stale");
+    auto state = this->plane.describe(this->clock.current());
+    BOOST_TEST(state.confirmationAge.count() == 3000);
 }
 
-BOOST_AUTO_TEST_CASE(newerRevisionHeardOfEndsPermissionUntilItIsApplied)
+BOOST_AUTO_TEST_CASE(newerKnownRevisionEndsPermissionUntilItIsApplied)
 {
-    this->hear("i2", "z2", 2, Milliseconds(0));
-    BOOST_TEST(this->tryKeyed() == "configuration_stale");
+    this->receiveState("i2", "z2", 2, Milliseconds(0));
+    BOOST_TEST(this->submitKeyed() == "configuration_stale");
     this->tick(DocumentApplied { makeDocument(2) });
-    BOOST_TEST(this->tryKeyed() == "sent");
+    BOOST_TEST(this->submitKeyed() == "sent");
     this->tick(DocumentApplied { makeDocument(1) });
     BOOST_TEST(this->plane.describe(this->clock.current()).appliedRevision == 2);
 }
 
-BOOST_AUTO_TEST_CASE(storeOutForAllNeedsADaemonOfEveryOtherZone)
+BOOST_AUTO_TEST_CASE(storeOutageRequiresContactWithEveryOtherZone)
 {
     this->listMembers();
     this->clock.advance(Seconds(4));
-    this->hear("i2", "z2");
-    BOOST_TEST(this->tryKeyed() == "configuration_stale");
-    this->hear(
+    this->receiveState("i2", "z2");
+    BOOST_TEST(this->submitKeyed() == "configuration_stale");
+    this->receiveState(
         "i2", "z2", 1, Milliseconds::max(), { PeerSighting { IncarnationId("i4"), ZoneId("z3"), Milliseconds(500) } });
-    BOOST_TEST(this->tryKeyed() == "sent");
+    BOOST_TEST(this->submitKeyed() == "sent");
     this->clock.advance(Milliseconds(2499));
-    this->hear("i2", "z2");
-    BOOST_TEST(this->tryKeyed() == "sent");
+    this->receiveState("i2", "z2");
+    BOOST_TEST(this->submitKeyed() == "sent");
     this->clock.advance(Milliseconds(1));
-    this->hear("i2", "z2");
-    BOOST_TEST(this->tryKeyed() == "configuration_stale");
+    this->receiveState("i2", "z2");
+    BOOST_TEST(this->submitKeyed() == "configuration_stale");
 }
 
-BOOST_AUTO_TEST_CASE(newDaemonLearnsTheZonesFromPeersAndServesNothingAlone)
+BOOST_AUTO_TEST_CASE(newDaemonLearnsTheZonesFromPeersAndServesNoKeyedWorkAlone)
 {
     RequestPlane fresh(identity());
     fresh.tick(this->clock.current(), { DocumentApplied { makeDocument(1) }, makeEndpoints() });
@@ -123,7 +123,7 @@
     BOOST_TEST(fresh.describe(this->clock.current()).sightings.size() == 2);
 }
 
-BOOST_AUTO_TEST_CASE(wakingAfterAPauseRefusesUntilConfirmedAgain)
+BOOST_AUTO_TEST_CASE(pausedDaemonRefusesKeyedWorkUntilConfirmedAgain)
 {
     this->clock.advance(Seconds(30));
     PeerState old;
@@ -131,10 +131,10 @@
     old.zone = ZoneId("z2");
     old.confirmationAge = Milliseconds(0);
     this->tick(PeerHeard { old, this->clock.current() - Seconds(30) });
-    BOOST_TEST(this->tryKeyed() == "configuration_stale");
+    BOOST_TEST(this->submitKeyed() == "configuration_stale");
 }
 
-BOOST_AUTO_TEST_CASE(withdrawnKeyEndsItsWaitingWork)
+BOOST_AUTO_TEST_CASE(withdrawnKeyEndsItsWaitingRequests)
 {
     std::vector<RequestInput> burst;
     for (int index = 0; index < 11; ++index)
--- a/modules/fleet/tests/LimitEscrowTests.cpp
+++ b/modules/fleet/tests/LimitEscrowTests.cpp
@@ -26,14 +26,14 @@
 public:
     explicit RandomSchedule(std::uint64_t seed)
         : fleet(makeOptions(seed))
-        , calm(seed % 2 == 0 ? 60 : 300)
+        , faultPeriod(seed % 2 == 0 ? 60 : 300)
     {
         this->fleet.accept(makeDocument(1, this->limit, this->fleet.options.endpointsPerService));
         for (std::size_t daemon = 0; daemon < this->fleet.daemons.size(); ++daemon)
             this->fleet.start(daemon);
         this->fleet.onBegin = [this](const RunningWork&) {
             int running = this->fleet.runningOf("booking");
-            this->worst = std::max(this->worst, running - this->bindingLimit());
+            this->worstExcess = std::max(this->worstExcess, running - this->effectiveLimit());
         };
     }
 
@@ -48,22 +48,22 @@
     }
 
     /// The limit in force, or the larger of two while a change may still be under way.
-    int bindingLimit() const
+    int effectiveLimit() const
     {
         bool settled = this->fleet.clock.current() >= this->changedAt + Seconds(5);
-        return settled ? this->limit : std::max(this->limit, this->earlierLimit);
+        return settled ? this->limit : std::max(this->limit, this->previousLimit);
     }
 
-    void play(int steps)
+    void runSteps(int steps)
     {
         for (int step = 0; step < steps; ++step) {
-            this->load();
-            this->disturb();
+            this->submitLoad();
+            this->injectFault();
             this->fleet.run(Milliseconds(100));
         }
     }
 
-    void load()
+    void submitLoad()
     {
         for (int count = 0; count < 8; ++count) {
             auto daemon = static_cast<std::size_t>(this->fleet.pick(this->fleet.options.daemons));
@@ -72,11 +72,11 @@
         }
     }
 
-    void disturb()
+    void injectFault()
     {
         auto daemon = static_cast<std::size_t>(this->fleet.pick(this->fleet.options.daemons));
         auto zone = "z" + std::to_string(this->fleet.pick(this->fleet.options.zones) + 1);
-        switch (this->fleet.pick(this->calm)) {
+        switch (this->fleet.pick(this->faultPeriod)) {
         case 0:
             this->fleet.kill(daemon);
             this->fleet.after(Milliseconds(500 + this->fleet.pick(5000)), [this, daemon] {
@@ -113,7 +113,7 @@
         bool settled = this->fleet.clock.current() >= this->changedAt + Seconds(5);
         if (this->fleet.store.down || !settled)
             return;
-        this->earlierLimit = this->limit;
+        this->previousLimit = this->limit;
         this->limit = 5 + this->fleet.pick(40);
         this->changedAt = this->fleet.clock.current();
         this->revision += 1;
@@ -122,13 +122,13 @@
 
     SimulatedFleet fleet;
     /// Number of steps within which each kind of disturbance comes once on average.
-    int calm;
+    int faultPeriod;
     int limit = 30;
-    int earlierLimit = 30;
+    int previousLimit = 30;
     Instant changedAt = Instant {};
     std::uint64_t revision = 1;
     /// Largest excess over the limit; negative while it has never been reached.
-    int worst = -1000;
+    int worstExcess = -1000;
 };
 
 } // namespace
@@ -142,7 +142,7 @@
     BOOST_TEST(divideByWeight(5, { 0, 0 }) == (std::vector<int> { 0, 0 }), boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(bookSurvivesItsTextAndRefusesOthers)
+BOOST_AUTO_TEST_CASE(bookRoundTripsAndRejectsInvalidText)
 {
     AllotmentBook book;
     book.assign(TeamId("a"), IncarnationId("i1"), 3);
@@ -169,7 +169,7 @@
     BOOST_TEST(pick<SendAttempt>(outputs).size() == 1);
 }
 
-BOOST_FIXTURE_TEST_CASE(firstDaemonMakesTheBookWithoutHavingReadOne, PlaneFixture)
+BOOST_FIXTURE_TEST_CASE(firstDaemonCreatesTheBookWithoutHavingReadOne, PlaneFixture)
 {
     this->storeAnswers = false;
     auto update = only<UpdateAllotments>(this->tick(
@@ -183,7 +183,7 @@
     BOOST_TEST(only<UpdateAllotments>(this->wait(Milliseconds(50))).expectedVersion == 5);
 }
 
-BOOST_FIXTURE_TEST_CASE(lostRaceForTheBookIsTriedAgainSoonHoweverOftenItIsLost, PlaneFixture)
+BOOST_FIXTURE_TEST_CASE(lostWriteRaceIsRetriedWithoutBackoff, PlaneFixture)
 {
     this->startServing();
     this->storeAnswers = false;
@@ -198,7 +198,7 @@
     }
 }
 
-BOOST_FIXTURE_TEST_CASE(reclaimedAllotmentStartsNothing, PlaneFixture)
+BOOST_FIXTURE_TEST_CASE(reclaimedAllotmentAllowsNoStarts, PlaneFixture)
 {
     this->startServing();
     this->storeAnswers = false;
@@ -208,7 +208,7 @@
     BOOST_TEST(pick<SendAttempt>(this->tick(older)).empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(unitsOfALostHandBackStayUnusedUntilItIsSettled, PlaneFixture)
+BOOST_FIXTURE_TEST_CASE(returnedUnitsStayUnusedUntilALostWriteIsSettled, PlaneFixture)
 {
     this->startServing();
     this->storeAnswers = false;
@@ -233,15 +233,15 @@
     BOOST_TEST(countSent(AllotmentsRead { 2, R"({"teams":{"booking":{"i1":10}}})", false }) == 6);
 }
 
-BOOST_AUTO_TEST_CASE(allotmentOfADeadDaemonStaysReservedWhileItsWorkRuns)
+BOOST_AUTO_TEST_CASE(allotmentOfAnExpiredDaemonStaysReservedWhileItsWorkRuns)
 {
     FleetOptions options;
     SimulatedFleet fleet(options);
     fleet.accept(makeDocument(1, 10, options.endpointsPerService));
     for (std::size_t daemon = 0; daemon < fleet.daemons.size(); ++daemon)
         fleet.start(daemon);
-    int worst = 0;
-    fleet.onBegin = [&](const RunningWork&) { worst = std::max(worst, fleet.runningOf("booking")); };
+    int worstExcess = 0;
+    fleet.onBegin = [&](const RunningWork&) { worstExcess = std::max(worstExcess, fleet.runningOf("booking")); };
     fleet.run(Seconds(3));
     for (int count = 0; count < 10; ++count)
         fleet.submit(0, "quotes", "k1", Seconds(20), Seconds(90));
@@ -257,7 +257,7 @@
     loadFor(80);
     BOOST_TEST(fleet.runningOf("booking") == 10);
     loadFor(20);
-    BOOST_TEST(worst == 10);
+    BOOST_TEST(worstExcess == 10);
     BOOST_TEST(fleet.store.value.find("i1001") == std::string::npos);
     BOOST_TEST(fleet.runningOf("booking") >= 8);
 }
@@ -267,14 +267,14 @@
     int reached = 0;
     for (std::uint64_t seed = 1; seed <= scheduleSeeds; ++seed) {
         RandomSchedule schedule(seed);
-        schedule.play(1200);
-        BOOST_TEST(schedule.worst <= 0, "seed " << seed << " passed the limit by " << schedule.worst);
-        reached += schedule.worst == 0 ? 1 : 0;
+        schedule.runSteps(1200);
+        BOOST_TEST(schedule.worstExcess <= 0, "seed " << seed << " passed the limit by " << schedule.worstExcess);
+        reached += schedule.worstExcess == 0 ? 1 : 0;
         auto answered = std::count_if(schedule.fleet.records.begin(), schedule.fleet.records.end(),
             [](const OutcomeRecord& record) { return record.ended && record.outcome == Outcome::Answered; });
         BOOST_TEST(answered > 100, "seed " << seed << " answered only " << answered);
         auto untrue = std::count_if(schedule.fleet.records.begin(), schedule.fleet.records.end(),
-            [](const OutcomeRecord& record) { return record.saysNotRun() && record.begun > 0; });
+            [](const OutcomeRecord& record) { return record.reportedNotRun() && record.begun > 0; });
         BOOST_TEST(untrue == 0, "seed " << seed << ": not run was said of " << untrue << " requests that had begun");
     }
     BOOST_TEST(reached > scheduleSeeds / 2);
--- a/modules/fleet/tests/PolicyTargetTests.cpp
+++ b/modules/fleet/tests/PolicyTargetTests.cpp
@@ -7,7 +7,7 @@
 
 BOOST_AUTO_TEST_SUITE(PolicyTargets)
 
-BOOST_AUTO_TEST_CASE(burstOfOneTeamLeavesTheOthersWithinTenPercent)
+BOOST_AUTO_TEST_CASE(burstOfOneTeamChangesTheOthersByAtMostTenPercent)
 {
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
         auto calm = runBurst(RequestPolicy {}, false, seed);
@@ -18,7 +18,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(limitStaysUsableAtOneDaemonAndAfterAnIdleOneDied)
+BOOST_AUTO_TEST_CASE(limitStaysUsableAtOneDaemonAndAfterAnIdleDaemonIsKilled)
 {
     for (int limit : { 10, 30 }) {
         LimitRun run(LimitSplit::Escrow, limit, 1);
@@ -30,7 +30,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(limitIsUsableAgainOnceThePartsOfDeadDaemonsAreReclaimed)
+BOOST_AUTO_TEST_CASE(limitIsUsableAgainOnceAllotmentsOfExpiredDaemonsAreReclaimed)
 {
     LimitRun run(LimitSplit::Escrow, 30, 1);
     run.usedPercent(7, 3);
@@ -40,21 +40,21 @@
     BOOST_TEST(run.usedPercent(7, 5) >= 90.0);
 }
 
-BOOST_AUTO_TEST_CASE(noDaemonIsLeftWithoutUnitsWhileAllAreLoaded)
+BOOST_AUTO_TEST_CASE(everyDaemonGetsUnitsWhileAllAreLoaded)
 {
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
         LimitRun run(LimitSplit::Escrow, 100, seed);
         run.usedPercent(7, 4);
         for (const auto& daemon : run.fleet.daemons) {
-            auto told = daemon.plane->describe(run.fleet.clock.current());
-            int running = told.demand.empty() ? 0 : told.demand.front().running;
+            auto state = daemon.plane->describe(run.fleet.clock.current());
+            int running = state.demand.empty() ? 0 : state.demand.front().running;
             BOOST_TEST(running >= 100 / 7 / 2);
             BOOST_TEST(running <= 100 / 7 * 2);
         }
     }
 }
 
-BOOST_AUTO_TEST_CASE(withdrawnKeyStopsWithinFiveSecondsInACutOffZone)
+BOOST_AUTO_TEST_CASE(withdrawnKeyStopsWithinFiveSecondsInAPartitionedZone)
 {
     FleetOptions options;
     SimulatedFleet fleet(options);
--- a/modules/fleet/tests/ThinPathTests.cpp
+++ b/modules/fleet/tests/RequestPathTests.cpp
@@ -3,9 +3,9 @@
 
 using namespace Greengage;
 
-BOOST_FIXTURE_TEST_SUITE(ThinPath, PlaneFixture)
+BOOST_FIXTURE_TEST_SUITE(RequestPath, PlaneFixture)
 
-BOOST_AUTO_TEST_CASE(requestGoesToTheNearEndpointAndItsAnswerBack)
+BOOST_AUTO_TEST_CASE(requestIsSentToAnEndpointInTheSameZoneAndItsAnswerReturned)
 {
     this->startServing();
     auto attempt = only<SendAttempt>(this->tick(this->makeRequest("r1", "quotes", "k1")));
@@ -16,7 +16,7 @@
     BOOST_TEST(answer.attempt == 1);
 }
 
-BOOST_AUTO_TEST_CASE(refusalsNameTheirReason)
+BOOST_AUTO_TEST_CASE(refusalsReportTheirReason)
 {
     auto reasonOf = [&](const RequestArrived& arrived) {
         return std::string(nameOf(only<AnswerCaller>(this->tick(arrived)).reason));
@@ -42,7 +42,7 @@
     BOOST_TEST(attempt.team.isEmpty());
 }
 
-BOOST_AUTO_TEST_CASE(limitHoldsAndWaitingWorkExpiresTruthfully)
+BOOST_AUTO_TEST_CASE(limitHoldsAndExpiredRequestsReportNotRun)
 {
     this->startServing();
     std::vector<SendAttempt> sent;
@@ -61,7 +61,7 @@
     BOOST_TEST((expired.reason == OutcomeReason::LimitReached));
 }
 
-BOOST_AUTO_TEST_CASE(nonIdempotentWorkIsNeverSentTwice)
+BOOST_AUTO_TEST_CASE(nonIdempotentRequestIsNeverSentTwice)
 {
     this->startServing();
     auto attempt = only<SendAttempt>(this->tick(this->makeRequest("r1", "orders", "k1")));
@@ -71,7 +71,7 @@
     BOOST_TEST((only<AnswerCaller>(outputs).outcome == Outcome::Unknown));
 }
 
-BOOST_AUTO_TEST_CASE(unsentWorkGoesToAnotherEndpoint)
+BOOST_AUTO_TEST_CASE(unsentRequestIsRetriedAtAnotherEndpoint)
 {
     this->startServing();
     auto first = only<SendAttempt>(this->tick(this->makeRequest("r1", "orders", "k1")));
@@ -81,7 +81,7 @@
     BOOST_TEST((answer.outcome == Outcome::NotRun));
 }
 
-BOOST_AUTO_TEST_CASE(unknownWorkKeepsItsUnitUntilTheEndpointReportsItGone)
+BOOST_AUTO_TEST_CASE(unknownWorkKeepsItsUnitUntilTheEndpointReportsItEnded)
 {
     this->startServing();
     auto attempt = only<SendAttempt>(this->tick(this->makeRequest("r1", "orders", "k1")));
@@ -95,7 +95,7 @@
     BOOST_TEST(this->plane.describe(this->clock.current()).demand.empty());
 }
 
-BOOST_AUTO_TEST_CASE(endpointThatLeavesGetsNoWorkAndMayReturnWhileItsWorkRuns)
+BOOST_AUTO_TEST_CASE(removedEndpointGetsNoRequestsAndMayReturnWhileItsWorkRuns)
 {
     this->startServing();
     auto attempt = only<SendAttempt>(this->tick(this->makeRequest("r1", "quotes", "k1")));
@@ -105,9 +105,9 @@
     draining.draining.insert(VmId("e1"));
     draining.ledgerRevision = 7;
     BOOST_TEST(only<SendAttempt>(this->tick(draining)).endpoint.string() == "e2");
-    auto told = this->plane.describe(this->clock.current());
-    BOOST_TEST(told.appliedLedgerRevision == 7);
-    BOOST_TEST((told.busyDrainingVms == std::vector { VmId("e1") }));
+    auto state = this->plane.describe(this->clock.current());
+    BOOST_TEST(state.appliedLedgerRevision == 7);
+    BOOST_TEST((state.busyDrainingVms == std::vector { VmId("e1") }));
     BOOST_TEST(this->plane.runningAt(VmId("e1")) == 1);
     BOOST_TEST(this->plane.runningAt(VmId("e2")) == 1);
     BOOST_TEST(this->plane.runningAt(VmId("none")) == 0);
@@ -118,7 +118,7 @@
     BOOST_TEST(this->plane.describe(this->clock.current()).busyDrainingVms.empty());
 }
 
-BOOST_AUTO_TEST_CASE(shutdownFinishesAcceptedWorkAndRefusesMore)
+BOOST_AUTO_TEST_CASE(shutdownFinishesAcceptedRequestsAndRefusesNewOnes)
 {
     this->startServing();
     auto attempt = only<SendAttempt>(this->tick(this->makeRequest("r1", "quotes", "k1")));
--- a/modules/fleet/tests/RetryTests.cpp
+++ b/modules/fleet/tests/RetryTests.cpp
@@ -21,7 +21,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(Retries, RetryFixture)
 
-BOOST_AUTO_TEST_CASE(silentAttemptLeavesTimeForASecondEndpoint)
+BOOST_AUTO_TEST_CASE(timedOutAttemptLeavesTimeForASecondEndpoint)
 {
     auto first = this->submit();
     BOOST_TEST((first.answerBy.at() == this->clock.current() + Seconds(3)));
@@ -36,7 +36,7 @@
     BOOST_TEST((answer.outcome == Outcome::Unknown));
 }
 
-BOOST_AUTO_TEST_CASE(extraSendsStayWithinATenth)
+BOOST_AUTO_TEST_CASE(extraSendsStayWithinATenthOfFirstSends)
 {
     int firstSends = 0;
     int extraSends = 0;
@@ -56,7 +56,7 @@
     BOOST_TEST(extraSends >= firstSends / 20);
 }
 
-BOOST_AUTO_TEST_CASE(failingEndpointIsSetAsideAndProbedBackIn)
+BOOST_AUTO_TEST_CASE(failingEndpointIsSetAsideAndProbedUntilItAnswers)
 {
     for (int failure = 0; failure < 3; ++failure) {
         auto attempt = this->submit();
@@ -73,7 +73,7 @@
     BOOST_TEST(this->submit().endpoint.string() == "e1");
 }
 
-BOOST_AUTO_TEST_CASE(whenAllAreSetAsideTheLeastFailedIsTried)
+BOOST_AUTO_TEST_CASE(endpointWithFewestFailuresIsTriedWhenAllAreSetAside)
 {
     for (int failure = 0; failure < 3; ++failure) {
         auto first = this->submit();
@@ -83,7 +83,7 @@
     BOOST_TEST(this->submit().attempt == 1);
 }
 
-BOOST_AUTO_TEST_CASE(longRunIsNotTakenForASilentEndpoint)
+BOOST_AUTO_TEST_CASE(longRunIsNotMistakenForAnUnresponsiveEndpoint)
 {
     auto longRun = this->submit("orders");
     for (int count = 0; count < 4; ++count)
--- a/modules/fleet/tests/SessionTranscript.cpp
+++ b/modules/fleet/tests/SessionTranscript.cpp
@@ -8,14 +8,14 @@
 namespace {
 
 /// Instants are told in milliseconds of the virtual clock.
-std::string told(Instant instant)
+std::string formatTime(Instant instant)
 {
     if (instant == Instant::max())
         return "never";
     return std::to_string(std::chrono::floor<Milliseconds>(instant.time_since_epoch()).count());
 }
 
-std::string told(Deadline deadline) { return told(deadline.at()); }
+std::string formatTime(Deadline deadline) { return formatTime(deadline.at()); }
 
 class MessageFormatter {
 public:
@@ -27,7 +27,7 @@
             .add("queue", message.queue.string())
             .add("key", key)
             .add("idempotencyKey", message.idempotencyKey)
-            .add("deadline", told(message.deadline));
+            .add("deadline", formatTime(message.deadline));
     }
 
     LogLine operator()(const CallerLeft& message) const
@@ -50,7 +50,7 @@
     LogLine operator()(const StoreConfirmed& message) const
     {
         return LogLine("StoreConfirmed")
-            .add("askedAt", told(message.askedAt))
+            .add("askedAt", formatTime(message.askedAt))
             .add("revision", message.documentRevision);
     }
 
@@ -71,7 +71,7 @@
     {
         return LogLine("RunningReported")
             .add("endpoint", message.endpoint.string())
-            .add("askedAt", told(message.askedAt))
+            .add("askedAt", formatTime(message.askedAt))
             .add("running", message.running.size());
     }
 
@@ -92,7 +92,7 @@
     {
         return LogLine("PeerHeard")
             .add("incarnation", message.state.incarnation.string())
-            .add("askedAt", told(message.askedAt))
+            .add("askedAt", formatTime(message.askedAt))
             .add("known", message.state.knownRevision)
             .add("sightings", message.state.sightings.size())
             .add("demand", message.state.demand.size());
@@ -112,8 +112,8 @@
             .add("attempt", message.attempt)
             .add("endpoint", message.endpoint.string())
             .add("team", message.team.string())
-            .add("notAfter", told(message.notAfter))
-            .add("answerBy", told(message.answerBy))
+            .add("notAfter", formatTime(message.notAfter))
+            .add("answerBy", formatTime(message.answerBy))
             .add("fresh", message.freshConnection);
     }
 
@@ -129,7 +129,9 @@
 
     LogLine operator()(const WriteClaim& message) const
     {
-        return LogLine("WriteClaim").add("request", message.request.string()).add("settleBy", told(message.settleBy));
+        return LogLine("WriteClaim")
+            .add("request", message.request.string())
+            .add("settleBy", formatTime(message.settleBy));
     }
 
     LogLine operator()(const UpdateAllotments& message) const
@@ -154,7 +156,7 @@
 void SessionTranscript::add(
     Instant now, const std::vector<RequestInput>& inbox, const std::vector<RequestOutput>& outbox)
 {
-    this->lines += "@" + told(now) + "\n";
+    this->lines += "@" + formatTime(now) + "\n";
     for (const auto& input : inbox)
         this->lines += "> " + format(input) + "\n";
     for (const auto& output : outbox)
--- a/modules/fleet/tests/SharingTests.cpp
+++ b/modules/fleet/tests/SharingTests.cpp
@@ -26,11 +26,11 @@
         IncarnationId incarnation("i" + std::to_string(index));
         if (index == own) {
             tables.self.incarnation = incarnation;
-            tables.lines[WorkLineKey { QueueId("quotes"), TeamId("booking") }].waiting = demands[index];
+            tables.teamQueues[TeamQueueKey { QueueId("quotes"), TeamId("booking") }].waiting = demands[index];
             continue;
         }
         auto& peer = tables.peers[incarnation];
-        peer.spokenAt = now;
+        peer.directlySeenAt = now;
         peer.state.incarnation = incarnation;
         peer.state.demand = { TeamDemand { QueueId("quotes"), TeamId("booking"), demands[index], 0 } };
     }
@@ -41,7 +41,7 @@
 
 BOOST_AUTO_TEST_SUITE(Sharing)
 
-BOOST_AUTO_TEST_CASE(daemonsOfEqualKnowledgeNeverOvercommitAnEndpoint)
+BOOST_AUTO_TEST_CASE(daemonsWithTheSameDemandDataNeverOvercommitAnEndpoint)
 {
     std::mt19937 random(7);
     for (int round = 0; round < 300; ++round) {
@@ -68,14 +68,14 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(slotsFollowTheDemandOnceItExceedsThem)
+BOOST_AUTO_TEST_CASE(slotsAreDividedByDemandOnceItExceedsThem)
 {
     BOOST_TEST(
         SlotShares::divide(80, { 300, 100, 0 }) == (std::vector<int> { 60, 20, 0 }), boost::test_tools::per_element());
     BOOST_TEST(SlotShares::divide(80, { 10, 0 }) == (std::vector<int> { 45, 35 }), boost::test_tools::per_element());
 }
 
-BOOST_FIXTURE_TEST_CASE(teamThatRunsLeastInTheFleetGoesFirst, PlaneFixture)
+BOOST_FIXTURE_TEST_CASE(teamThatRunsLeastInTheFleetStartsFirst, PlaneFixture)
 {
     this->startServing();
     this->tick(EndpointsListed {});
@@ -94,7 +94,7 @@
     BOOST_TEST(sent[2].team.string() == "booking");
 }
 
-BOOST_FIXTURE_TEST_CASE(urgentWorkGoesBeforeBatch, PlaneFixture)
+BOOST_FIXTURE_TEST_CASE(urgentRequestsStartBeforeBatchRequests, PlaneFixture)
 {
     this->startServing();
     auto document = makeDocument(2);
@@ -110,7 +110,7 @@
     BOOST_TEST(sent[0].request.string() == "r2");
 }
 
-BOOST_FIXTURE_TEST_CASE(fullLineRefusesItsTeamOnly, PlaneFixture)
+BOOST_FIXTURE_TEST_CASE(fullTeamQueueRefusesOnlyItsTeam, PlaneFixture)
 {
     this->startServing();
     this->tick(EndpointsListed {});
--- a/modules/fleet/tests/simulation/BurstRun.cpp
+++ b/modules/fleet/tests/simulation/BurstRun.cpp
@@ -36,29 +36,29 @@
     fleet.run(Seconds(4));
 }
 
-BurstResult judge(const SimulatedFleet& fleet)
+BurstResult evaluate(const SimulatedFleet& fleet)
 {
     std::vector<double> latencies;
-    double others = 0;
-    double firsts = 0;
-    double firstsAnswered = 0;
+    double otherRequests = 0;
+    double burstRequests = 0;
+    double burstAnswered = 0;
     BurstResult result;
     for (const auto& record : fleet.records) {
         result.sendsPerRequest += record.sends / static_cast<double>(fleet.records.size());
         bool answered = record.ended && record.outcome == Outcome::Answered;
         if (record.queue.string() == "q0") {
-            firsts += 1;
-            firstsAnswered += answered ? 1 : 0;
+            burstRequests += 1;
+            burstAnswered += answered ? 1 : 0;
             continue;
         }
-        others += 1;
+        otherRequests += 1;
         if (answered)
             latencies.push_back(std::chrono::duration<double, std::milli>(record.endedAt - record.submittedAt).count());
     }
     std::sort(latencies.begin(), latencies.end());
-    result.othersAnsweredPercent = 100.0 * static_cast<double>(latencies.size()) / others;
+    result.othersAnsweredPercent = 100.0 * static_cast<double>(latencies.size()) / otherRequests;
     result.othersP99Milliseconds = latencies.empty() ? 0 : latencies[latencies.size() * 99 / 100];
-    result.burstAnsweredPercent = 100.0 * firstsAnswered / firsts;
+    result.burstAnsweredPercent = 100.0 * burstAnswered / burstRequests;
     for (const auto& endpoint : fleet.endpoints)
         result.refusals += endpoint.refusals;
     return result;
@@ -78,7 +78,7 @@
         fleet.start(daemon);
     fleet.run(Seconds(8));
     offerLoad(fleet, burst);
-    return judge(fleet);
+    return evaluate(fleet);
 }
 
 } // namespace Greengage
--- a/modules/fleet/tests/simulation/OrderRun.cpp
+++ b/modules/fleet/tests/simulation/OrderRun.cpp
@@ -9,12 +9,12 @@
 namespace {
 
 constexpr int orders = 400;
-constexpr int disturbancePeriod = 100;
+constexpr int faultPeriod = 100;
 
-void disturb(SimulatedFleet& fleet, int order)
+void injectFault(SimulatedFleet& fleet, int order)
 {
     auto daemon = static_cast<std::size_t>(fleet.pick(fleet.options.daemons));
-    switch (order % disturbancePeriod) {
+    switch (order % faultPeriod) {
     case 0:
         fleet.kill(daemon);
         fleet.after(Milliseconds(800), [&fleet, daemon] { fleet.start(daemon); });
@@ -33,7 +33,7 @@
     }
 }
 
-OrderResult judge(const SimulatedFleet& fleet, const std::map<std::size_t, int>& orderOf)
+OrderResult evaluate(const SimulatedFleet& fleet, const std::map<std::size_t, int>& orderOf)
 {
     OrderResult result;
     result.orders = orders;
@@ -43,7 +43,7 @@
         begun[order] += record.begun;
         result.submissions += 1;
         result.unknown += record.ended && record.outcome == Outcome::Unknown ? 1 : 0;
-        result.untrueNotRun += record.saysNotRun() && record.begun > 0 ? 1 : 0;
+        result.untrueNotRun += record.reportedNotRun() && record.begun > 0 ? 1 : 0;
     }
     for (const auto& [order, count] : begun) {
         result.begun += count > 0 ? 1 : 0;
@@ -79,11 +79,11 @@
                 orderOf[fleet.submit(daemon, "q0", "k0", Seconds(2), Milliseconds(100), key)] = order;
             });
         }
-        disturb(fleet, order);
+        injectFault(fleet, order);
         fleet.run(Milliseconds(50));
     }
     fleet.run(Seconds(10));
-    return judge(fleet, orderOf);
+    return evaluate(fleet, orderOf);
 }
 
 } // namespace Greengage
--- a/modules/fleet/tests/simulation/OutcomeRecord.h
+++ b/modules/fleet/tests/simulation/OutcomeRecord.h
@@ -7,7 +7,7 @@
 
 /// One request of a simulated caller and how it ended.
 struct OutcomeRecord {
-    bool saysNotRun() const { return this->ended && this->outcome == Outcome::NotRun; }
+    bool reportedNotRun() const { return this->ended && this->outcome == Outcome::NotRun; }
 
     QueueId queue;
     TeamId team;
--- a/modules/fleet/tests/simulation/SimulatedDaemon.h
+++ b/modules/fleet/tests/simulation/SimulatedDaemon.h
@@ -21,7 +21,7 @@
     Instant leaseEnd = Instant::min();
     std::uint64_t appliedRevision = 0;
     /// Inputs that arrived while it was frozen.
-    std::vector<RequestInput> held;
+    std::vector<RequestInput> pendingInputs;
 };
 
 } // namespace Greengage
--- a/modules/fleet/tests/simulation/SimulatedFleet.cpp
+++ b/modules/fleet/tests/simulation/SimulatedFleet.cpp
@@ -106,9 +106,9 @@
     if (!daemon.alive || !daemon.frozen)
         return;
     daemon.frozen = false;
-    auto held = std::move(daemon.held);
-    daemon.held.clear();
-    this->tick(index, std::move(held));
+    auto pendingInputs = std::move(daemon.pendingInputs);
+    daemon.pendingInputs.clear();
+    this->tick(index, std::move(pendingInputs));
 }
 
 void SimulatedFleet::stop(std::size_t index)
@@ -141,7 +141,7 @@
     if (!daemon.alive || daemon.identity.incarnation != incarnation)
         return;
     if (daemon.frozen)
-        daemon.held.push_back(std::move(input));
+        daemon.pendingInputs.push_back(std::move(input));
     else
         this->tick(index, { std::move(input) });
 }
@@ -151,7 +151,7 @@
     auto& daemon = this->daemons[index];
     auto outputs = daemon.plane->tick(this->clock.current(), std::move(inputs));
     for (const auto& output : outputs)
-        std::visit([&](const auto& message) { this->carryOut(index, message); }, output);
+        std::visit([&](const auto& message) { this->execute(index, message); }, output);
     if (daemon.plane->isIdle())
         daemon.alive = false;
 }
@@ -166,20 +166,20 @@
 
 void SimulatedFleet::exchange(std::size_t from, std::size_t to, Instant askedAt)
 {
-    auto asker = this->daemons[from].identity.incarnation;
+    auto requester = this->daemons[from].identity.incarnation;
     this->after(this->options.networkDelay, [=, this] {
         const auto& peer = this->daemons[to];
         if (!peer.runs() || !this->connected(this->daemons[from].identity.zone, peer.identity.zone))
             return;
         auto answer = peer.plane->describe(this->clock.current());
         this->after(this->options.networkDelay, [=, this] {
-            if (this->daemons[from].identity.incarnation == asker)
-                this->hear(from, answer, askedAt);
+            if (this->daemons[from].identity.incarnation == requester)
+                this->receiveState(from, answer, askedAt);
         });
     });
 }
 
-void SimulatedFleet::hear(std::size_t index, const PeerState& state, Instant askedAt)
+void SimulatedFleet::receiveState(std::size_t index, const PeerState& state, Instant askedAt)
 {
     auto& daemon = this->daemons[index];
     this->deliver(index, daemon.identity.incarnation, PeerHeard { state, askedAt });
--- a/modules/fleet/tests/simulation/SimulatedFleet.h
+++ b/modules/fleet/tests/simulation/SimulatedFleet.h
@@ -63,16 +63,16 @@
     void repeat(std::size_t daemon, const IncarnationId&, Microseconds interval, std::function<void()>);
     void exchangeWithPeers(std::size_t daemon);
     void exchange(std::size_t from, std::size_t to, Instant askedAt);
-    void hear(std::size_t daemon, const PeerState&, Instant askedAt);
+    void receiveState(std::size_t daemon, const PeerState&, Instant askedAt);
     void readStore(std::size_t daemon);
     void listMembers(std::size_t daemon);
     void announceAllotments();
 
-    void carryOut(std::size_t daemon, const SendAttempt&);
-    void carryOut(std::size_t daemon, const AnswerCaller&);
-    void carryOut(std::size_t daemon, const WriteClaim&);
-    void carryOut(std::size_t daemon, const UpdateAllotments&);
-    void carryOut(std::size_t daemon, const AskRunning&);
+    void execute(std::size_t daemon, const SendAttempt&);
+    void execute(std::size_t daemon, const AnswerCaller&);
+    void execute(std::size_t daemon, const WriteClaim&);
+    void execute(std::size_t daemon, const UpdateAllotments&);
+    void execute(std::size_t daemon, const AskRunning&);
 
     void firstByte(std::size_t daemon, const IncarnationId&, const SendAttempt&);
     void arrive(std::size_t daemon, const IncarnationId&, const SendAttempt&);
--- a/modules/fleet/tests/simulation/SimulatedFleetActions.cpp
+++ b/modules/fleet/tests/simulation/SimulatedFleetActions.cpp
@@ -40,7 +40,7 @@
     return this->endpoints.front();
 }
 
-void SimulatedFleet::carryOut(std::size_t daemon, const AnswerCaller& answer)
+void SimulatedFleet::execute(std::size_t daemon, const AnswerCaller& answer)
 {
     auto& record = this->records[std::stoul(answer.request.string())];
     record.ended = true;
@@ -51,7 +51,7 @@
     static_cast<void>(daemon);
 }
 
-void SimulatedFleet::carryOut(std::size_t daemon, const WriteClaim& claim)
+void SimulatedFleet::execute(std::size_t daemon, const WriteClaim& claim)
 {
     auto incarnation = this->daemons[daemon].identity.incarnation;
     bool reached = this->reachesStore(this->daemons[daemon]);
@@ -68,7 +68,7 @@
     });
 }
 
-void SimulatedFleet::carryOut(std::size_t daemon, const UpdateAllotments& update)
+void SimulatedFleet::execute(std::size_t daemon, const UpdateAllotments& update)
 {
     this->store.calls += 1;
     auto incarnation = this->daemons[daemon].identity.incarnation;
@@ -77,9 +77,9 @@
         this->after(lostAnswerTimeout, [=] { answer(AllotmentsWriteFailed { false }); });
         return;
     }
-    auto fate = this->uniform();
-    bool late = fate < this->options.lateWrites;
-    bool lost = fate < this->options.lateWrites + this->options.lostWriteAnswers;
+    auto draw = this->uniform();
+    bool late = draw < this->options.lateWrites;
+    bool lost = draw < this->options.lateWrites + this->options.lostWriteAnswers;
     auto delay = late ? Microseconds(lostAnswerTimeout + lateWriteDelay) : this->options.storeDelay;
     this->after(delay, [=, this] {
         bool written = this->store.write(update.expectedVersion, update.value);
@@ -96,7 +96,7 @@
         this->after(lostAnswerTimeout, [=] { answer(AllotmentsWriteFailed { true }); });
 }
 
-void SimulatedFleet::carryOut(std::size_t daemon, const AskRunning& ask)
+void SimulatedFleet::execute(std::size_t daemon, const AskRunning& ask)
 {
     auto askedAt = this->clock.current();
     auto incarnation = this->daemons[daemon].identity.incarnation;
@@ -111,7 +111,7 @@
     });
 }
 
-void SimulatedFleet::carryOut(std::size_t daemon, const SendAttempt& attempt)
+void SimulatedFleet::execute(std::size_t daemon, const SendAttempt& attempt)
 {
     auto incarnation = this->daemons[daemon].identity.incarnation;
     this->after(Microseconds(200), [=, this] { this->firstByte(daemon, incarnation, attempt); });
