--- a/modules/fleet/fleet.h
+++ b/modules/fleet/fleet.h
@@ -1,5 +1,5 @@
-// Purpose: the tables and the systems that decide: requests, limits, freshness, maintenance and placement. It knows no
-// socket, no clock and no log, so that others can embed it.
+// Purpose: the tables and systems that decide over requests, limits, freshness, maintenance and placement. They do no
+// input or output, read no clock and write no log, so that they can be embedded in other programs.
 // Dependencies: core, the document model of config, the VM records of platform.
 #pragma once
 
--- a/modules/fleet/peers/PeerSighting.h
+++ b/modules/fleet/peers/PeerSighting.h
@@ -5,11 +5,12 @@
 
 namespace Greengage {
 
-/// How a daemon knows of another daemon.
+/// A daemon's observation of another daemon.
 struct PeerSighting {
     IncarnationId incarnation;
     ZoneId zone;
-    /// How long ago, when the message was made, it had been heard, directly or through others.
+    /// Time from the last observation, direct or by another daemon, to the creation of the message; the largest value
+    /// if never.
     Milliseconds age {};
 };
 
--- a/modules/fleet/peers/PeerState.h
+++ b/modules/fleet/peers/PeerState.h
@@ -10,22 +10,23 @@
 
 namespace Greengage {
 
-/// What a daemon tells its peers several times a second.
+/// State that a daemon sends to its peers several times a second.
 struct PeerState {
     DaemonId daemon;
     IncarnationId incarnation;
     ZoneId zone;
-    /// Revision of the document that it has applied.
+    /// Revision of the document that the daemon has applied.
     std::uint64_t appliedRevision = 0;
-    /// Newest revision that it has heard of.
+    /// Newest revision that the daemon knows of.
     std::uint64_t knownRevision = 0;
-    /// How long ago, when the message was made, the question was sent whose answer from the store last confirmed
-    /// `knownRevision`, its own or a peer's; the largest value if never.
+    /// Time from the sending of the read with which the store last confirmed `knownRevision`, to this daemon or a peer,
+    /// to the creation of the message; the largest value if never.
     Milliseconds confirmationAge = Milliseconds::max();
     bool shuttingDown = false;
-    /// Revision of the maintenance ledger whose VMs out of service get no new work from it.
+    /// Revision of the maintenance ledger that the daemon has applied: it sends no new requests to VMs that this
+    /// revision takes out of service.
     std::uint64_t appliedLedgerRevision = 0;
-    /// Those of these VMs to which it still has attempts under way.
+    /// VMs out of service by that revision to which the daemon still has attempts in progress.
     std::vector<VmId> busyDrainingVms;
     std::vector<TeamDemand> demand;
     std::vector<PeerSighting> sightings;
--- a/modules/fleet/peers/TeamDemand.h
+++ b/modules/fleet/peers/TeamDemand.h
@@ -4,7 +4,7 @@
 
 namespace Greengage {
 
-/// How much work a daemon has of one team on one queue.
+/// Number of requests of one team in one queue of a daemon.
 struct TeamDemand {
     QueueId queue;
     TeamId team;
--- a/modules/fleet/requests/RequestInput.h
+++ b/modules/fleet/requests/RequestInput.h
@@ -18,7 +18,7 @@
 
 namespace Greengage {
 
-/// Everything that the request plane can be told.
+/// All inputs of the request plane.
 using RequestInput = std::variant<RequestArrived, CallerLeft, DocumentApplied, EndpointsListed, StoreConfirmed,
     ClaimSettled, AttemptEnded, RunningReported, AllotmentsRead, AllotmentsWriteFailed, PeerHeard, MembersListed,
     ShutdownRequested>;
--- a/modules/fleet/requests/RequestOutput.h
+++ b/modules/fleet/requests/RequestOutput.h
@@ -10,7 +10,7 @@
 
 namespace Greengage {
 
-/// Everything that the request plane can ask for.
+/// All outputs of the request plane.
 using RequestOutput = std::variant<SendAttempt, AnswerCaller, WriteClaim, UpdateAllotments, AskRunning>;
 
 } // namespace Greengage
--- a/modules/fleet/requests/admission/RetryAdvice.cpp
+++ b/modules/fleet/requests/admission/RetryAdvice.cpp
@@ -4,9 +4,9 @@
 
 namespace {
 
-/// For causes that pass when running work ends.
+/// For conditions that end when running requests end.
 constexpr Milliseconds retrySoon { 500 };
-/// For causes that pass when a component comes back.
+/// For conditions that end when a component recovers.
 constexpr Milliseconds retryLater { 2000 };
 
 } // namespace
--- a/modules/fleet/requests/admission/RetryAdvice.h
+++ b/modules/fleet/requests/admission/RetryAdvice.h
@@ -5,7 +5,7 @@
 
 namespace Greengage {
 
-/// When a caller whose request was not run may try again; zero if a retry cannot help.
+/// How long a caller should wait before it retries a request that was not run; zero if a retry cannot help.
 Milliseconds retryAfter(OutcomeReason);
 
 } // namespace Greengage
--- a/modules/fleet/requests/attempts/AttemptTracker.cpp
+++ b/modules/fleet/requests/attempts/AttemptTracker.cpp
@@ -13,9 +13,9 @@
 
 namespace {
 
-/// Most attempts for one request.
+/// Maximum number of attempts for one request.
 constexpr int maxAttempts = 4;
-/// How often an endpoint with unknown work is asked what it runs.
+/// How often an endpoint is queried for work whose end is not known.
 constexpr Milliseconds askInterval { 250 };
 
 } // namespace
--- a/modules/fleet/requests/attempts/AttemptTracker.h
+++ b/modules/fleet/requests/attempts/AttemptTracker.h
@@ -8,23 +8,24 @@
 struct RequestRow;
 struct RunningReported;
 
-/// Takes the ends of attempts: passes answers on, tries another endpoint where that is allowed, and keeps the unit and
-/// the slot of work whose end is not known until its endpoint reports it gone.
+/// Handles the end of each attempt: passes answers on and retries at another endpoint where that is allowed. Work whose
+/// end is not known keeps its unit of the limit and its slot until the endpoint reports that it no longer runs.
 class AttemptTracker {
 public:
     explicit AttemptTracker(Tick&);
 
     void handle(const AttemptEnded&);
     void handle(const RunningReported&);
-    /// Frees unknown work at endpoints that are no longer listed, and asks the others about theirs.
+    /// Releases work whose end is not known at endpoints that are no longer listed, and queries the other endpoints
+    /// about theirs.
     void settleUnknown();
 
 private:
     void recordHealth(const RequestRow&, AttemptResult);
     bool mayRetry(const RequestRow&) const;
-    /// Queues the request again, or ends it for the reason given.
+    /// Queues the request again, or ends it with the given reason if no further attempt is allowed.
     void retry(RequestRow&, OutcomeReason);
-    /// The same, for a request whose bytes have been sent: the next send costs a part of the retry budget.
+    /// The same for a request whose bytes were sent: the next send is charged to the retry budget.
     void retryWithinBudget(RequestRow&, OutcomeReason);
     void handleLostAttempt(RequestRow&, OutcomeReason);
 
--- a/modules/fleet/requests/attempts/EndpointHealth.cpp
+++ b/modules/fleet/requests/attempts/EndpointHealth.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Failures in a row after which an endpoint is set aside.
+/// Number of consecutive failures that do not yet set an endpoint aside.
 constexpr int failuresTolerated = 2;
 constexpr int maxDoublings = 4;
 constexpr Milliseconds firstSetAside { 1000 };
--- a/modules/fleet/requests/attempts/EndpointHealth.h
+++ b/modules/fleet/requests/attempts/EndpointHealth.h
@@ -6,19 +6,19 @@
 
 struct EndpointRow;
 
-/// Sets an endpoint aside that fails several attempts in a row, for a time that doubles with each further failure,
-/// and then lets one request at a time through until one is answered.
+/// Circuit breaker of an endpoint: sets it aside after several consecutive failures, for a time that doubles with each
+/// further failure, and then admits one request at a time until one is answered.
 class EndpointHealth {
 public:
     EndpointHealth(EndpointRow&, Instant now);
 
     void recordAnswer();
     void recordFailure();
-    /// The endpoint has no free slot or is leaving; it gets no work for a moment.
+    /// The endpoint has no free slot or is shutting down; it gets no requests for a short time.
     void recordRefusal();
 
     bool isHealthy() const;
-    /// Whether it may get one more request now.
+    /// Whether the endpoint may get another request now.
     bool isAvailable() const;
 
 private:
--- a/modules/fleet/requests/attempts/RetryBudget.h
+++ b/modules/fleet/requests/attempts/RetryBudget.h
@@ -2,12 +2,12 @@
 
 namespace Greengage {
 
-/// Bounds the sends beyond the first of each request to a twelfth of the first sends, with a small allowance for the
-/// start, so that retries cannot multiply an overload.
+/// Limits the sends beyond the first one of each request to a twelfth of all first sends, plus a small initial
+/// allowance, so that retries cannot amplify an overload.
 class RetryBudget {
 public:
     void addFirstSend();
-    /// Takes one extra send out of the budget; false if it is spent.
+    /// Charges one extra send to the budget; false if the budget is spent.
     bool consumeExtraSend();
 
 private:
--- a/modules/fleet/requests/claims/ClaimManager.cpp
+++ b/modules/fleet/requests/claims/ClaimManager.cpp
@@ -11,9 +11,9 @@
 
 namespace {
 
-/// How long a claim may take to be settled.
+/// Timeout for a claim to be settled.
 constexpr Milliseconds claimTimeout { 2000 };
-/// How long a claim that was won and not used is kept for a later submission.
+/// How long an unused claim is kept for a later submission of the same request.
 constexpr Seconds unusedClaimRetention { 600 };
 
 } // namespace
--- a/modules/fleet/requests/claims/ClaimManager.h
+++ b/modules/fleet/requests/claims/ClaimManager.h
@@ -9,20 +9,20 @@
 struct ClaimSettled;
 struct RequestRow;
 
-/// Makes sure that of all submissions of a non-idempotent request under one idempotency key only one is sent. The
-/// claim is written to the store before the request is first sent, and after a slot and a unit have been found for it,
-/// so that few claims are made for requests that are then not run.
+/// Ensures that only one submission of a non-idempotent request is sent per idempotency key. The claim is written to
+/// the store before the request is first sent, but only once a slot and a unit of the limit have been found, so that
+/// few claims are made for requests that are then not run.
 class ClaimManager {
 public:
     explicit ClaimManager(Tick&);
 
-    /// Whether the request must be claimed before it is sent. A claim that this daemon has won for an earlier
-    /// submission under the same key, and not used, is taken over.
+    /// Whether the request must be claimed before it is sent. Reuses a claim that this daemon won for an earlier
+    /// submission under the same key and did not use.
     bool isNeeded(RequestRow&) const;
-    /// Asks for the claim of a request that holds a slot and a unit.
+    /// Requests the claim for a request that holds a slot and a unit of the limit.
     void request(RequestRow&);
     void handle(const ClaimSettled&);
-    /// Keeps the claim of a request that ends without having been sent.
+    /// Keeps the claim of a request that ended without being sent, for the next submission.
     void retainUnused(const RequestRow&);
 
 private:
--- a/modules/fleet/requests/dispatch/Dispatcher.cpp
+++ b/modules/fleet/requests/dispatch/Dispatcher.cpp
@@ -12,14 +12,14 @@
 
 namespace {
 
-/// Longest time between the decision to send and the first byte, so that a newer decision is not overtaken for long.
+/// Longest time between the decision to send and the first byte. It bounds how long a send may follow a newer decision.
 constexpr Milliseconds sendWindow { 1000 };
-/// How long the first attempt of idempotent work may take, so that a silent connection leaves time for a second: a part
-/// of the time left in percent, but at least so many times the median run time.
+/// Time limit of the first attempt of an idempotent request, so that an unresponsive endpoint leaves time for a second
+/// attempt: a percentage of the remaining time, but at least this multiple of the median run time.
 constexpr int firstAttemptPercent = 60;
 constexpr int firstAttemptMedians = 4;
-/// Slots of each daemon at a service that the team which runs most of the work there leaves to the others. One lets
-/// their next request start at once.
+/// Slots of each daemon at a service that the team with most of the running requests leaves to the other teams. One
+/// slot lets their next request start at once.
 constexpr int reservedSlots = 1;
 
 } // namespace
--- a/modules/fleet/requests/dispatch/Dispatcher.h
+++ b/modules/fleet/requests/dispatch/Dispatcher.h
@@ -14,8 +14,9 @@
 struct RequestRow;
 struct TeamQueue;
 
-/// Starts waiting requests while their team has a free unit of its limit and an endpoint has a free slot. The most
-/// urgent work goes first; within a priority the team that runs least for its share.
+/// Starts waiting requests while their team has a free unit of its limit and an endpoint has a free slot. Requests of
+/// the most urgent priority start first; within a priority, those of the team with the fewest running requests relative
+/// to its share.
 class Dispatcher {
 public:
     explicit Dispatcher(Tick&);
@@ -23,30 +24,30 @@
     void run();
 
 private:
-    /// Starts at most one request of the best line; false if nothing can be started.
+    /// Starts at most one request, the first by the serving order; false if none can be started.
     bool startNext();
-    /// The request at the front of a line, after dropping those that no longer wait or come too late; null if the line
-    /// is empty.
+    /// The first waiting request of a team queue, after removing those that no longer wait or cannot finish in time;
+    /// null if none is left.
     RequestRow* frontOf(TeamQueue&) const;
-    /// Whether so little time is left, though there was enough on arrival, that an answer in time is unlikely.
+    /// Whether too little time is left for an answer to be likely, although there was enough on arrival.
     bool cannotFinishInTime(const RequestRow&) const;
     /// Whether freshness and the team's limit allow the request to start now.
     bool isPermitted(const RequestRow&) const;
-    /// Whether this daemon's last slot at the service is kept for the other teams.
+    /// Whether this daemon's last free slot at the service is reserved for the other teams.
     bool mustLeaveLastSlot(const RequestRow&);
     bool precedes(const RequestRow&, const RequestRow& other) const;
     void begin(TeamQueue&, RequestRow&, EndpointRow&);
     void send(RequestRow&, const EndpointRow&);
-    /// When the attempt that is being sent counts as silent.
+    /// When the attempt that is being sent times out.
     Deadline answerBy(const RequestRow&) const;
 
     Tick& tick;
-    /// Instant from which keyed work must not be started.
+    /// Instant from which keyed requests must not be started.
     Instant keyedWorkEnd;
     LiveDemand demand;
     FleetUsage usage;
     SlotShares slots;
-    /// Lines whose front cannot be started in this tick.
+    /// Team queues whose first request cannot be started in this tick.
     std::set<const TeamQueue*> blocked;
 };
 
--- a/modules/fleet/requests/dispatch/EndpointSelection.h
+++ b/modules/fleet/requests/dispatch/EndpointSelection.h
@@ -8,20 +8,22 @@
 struct RequestRow;
 class SlotShares;
 
-/// Chooses the endpoint of the next attempt: one with a free slot that has not failed the request, in this daemon's
-/// availability zone if possible, and with the least work among those. Endpoints that keep failing are passed over.
+/// Chooses the endpoint of the next attempt: one with a free slot at which the request has not failed, preferably in
+/// this daemon's availability zone, and among those the one with the fewest running requests. Endpoints that keep
+/// failing are skipped.
 class EndpointSelection {
 public:
     explicit EndpointSelection(Tick&);
 
-    /// Null if no endpoint has room.
+    /// Null if no endpoint has a free slot.
     EndpointRow* choose(const RequestRow&, SlotShares&) const;
-    /// How many open endpoints of its service the request has not tried, with or without a free slot.
+    /// Number of open endpoints of the service that the request has not tried, with or without a free slot.
     int countCandidates(const RequestRow&) const;
 
 private:
     bool isCandidate(const EndpointRow&, const RequestRow&) const;
-    /// For when every candidate has been set aside: better a doubtful endpoint than none.
+    /// The candidate with the fewest consecutive failures, used when all candidates are set aside: trying one of them
+    /// is better than trying none.
     EndpointRow* fewestFailures(const RequestRow&, SlotShares&) const;
     bool isBetter(const EndpointRow&, const EndpointRow& best) const;
 
--- a/modules/fleet/requests/dispatch/EndpointTable.h
+++ b/modules/fleet/requests/dispatch/EndpointTable.h
@@ -6,7 +6,7 @@
 
 struct EndpointsListed;
 
-/// Keeps the table of endpoints in step with the platform's list of VMs and the pools of the document.
+/// Updates the table of endpoints from the platform's list of VMs and the pools of the document.
 class EndpointTable {
 public:
     explicit EndpointTable(Tick&);
--- a/modules/fleet/requests/dispatch/RequestExpiry.h
+++ b/modules/fleet/requests/dispatch/RequestExpiry.h
@@ -8,7 +8,7 @@
 struct CallerLeft;
 struct RequestRow;
 
-/// Ends requests that nobody waits for any more: their deadline has passed or their caller has left.
+/// Ends waiting requests whose deadline has passed or whose caller has left.
 class RequestExpiry {
 public:
     explicit RequestExpiry(Tick&);
--- a/modules/fleet/requests/freshness/FreshnessFence.cpp
+++ b/modules/fleet/requests/freshness/FreshnessFence.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-/// How long a confirmation or a peer's sign of life permits keyed work.
+/// How long a confirmation from the store or an observation of a peer permits keyed requests.
 constexpr Milliseconds freshnessBound { 3000 };
-/// How long an incarnation that is neither listed nor heard is remembered.
+/// How long an incarnation is remembered after it was last seen, if it is not listed.
 constexpr Seconds peerRetention { 600 };
 
 Instant instantOf(Instant askedAt, Milliseconds age)
--- a/modules/fleet/requests/freshness/FreshnessFence.h
+++ b/modules/fleet/requests/freshness/FreshnessFence.h
@@ -10,12 +10,11 @@
 struct PeerState;
 struct StoreConfirmed;
 
-/// Decides until when this daemon may rely on its document for keyed work. The document counts as fresh for a bounded
-/// time after the store was asked, by this daemon or by a peer that passed the answer's age on, and had nothing newer.
-/// While no such confirmation is known, it counts as fresh if a daemon of every other availability zone was heard
+/// Decides until when this daemon may use its document for keyed requests. The document counts as fresh for a bounded
+/// time after the store confirmed that it had nothing newer, either to this daemon or to a peer that passed on the age
+/// of the answer. Without such a confirmation it counts as fresh if a daemon of every other availability zone was seen
 /// within the bound, since a change is accepted only through a daemon. A daemon that knows of no other zone has no such
-/// permission. A newer revision that has been heard of and not
-/// applied ends the freshness at once.
+/// permission. A newer known revision that is not applied yet ends the freshness at once.
 class FreshnessFence {
 public:
     explicit FreshnessFence(Tick&);
@@ -24,13 +23,13 @@
     void handle(const PeerHeard&);
     void handle(const MembersListed&);
 
-    /// Instant from which keyed work must not be started.
+    /// Instant from which keyed requests must not be started.
     Instant permissionEnd() const;
-    /// As permissionEnd, whether or not the newest known revision has been applied.
+    /// Same as permissionEnd, but regardless of whether the newest known revision has been applied.
     Instant contactEnd() const;
     bool allowsKeyedWork() const { return this->tick.now < this->permissionEnd(); }
 
-    /// Fills in revisions, the age of the confirmation and the sightings.
+    /// Fills in the revisions, the age of the confirmation and the observations of peers.
     void describe(PeerState&) const;
 
 private:
--- a/modules/fleet/requests/limits/AllotmentBook.cpp
+++ b/modules/fleet/requests/limits/AllotmentBook.cpp
@@ -16,15 +16,16 @@
         return AllotmentError { parsed.error().message };
     const auto& root = parsed.value();
     if (!root.isObject() || !root["teams"].isObject())
-        return AllotmentError { "member teams is missing" };
+        return AllotmentError { "the member \"teams\" is missing or is not an object" };
     const auto& teams = root["teams"];
     for (const auto& team : teams.getMemberNames()) {
         if (!teams[team].isObject())
-            return AllotmentError { "team " + team + " is not an object" };
+            return AllotmentError { "team " + team + " is not an object of incarnations and units" };
         for (const auto& incarnation : teams[team].getMemberNames()) {
             const auto& units = teams[team][incarnation];
             if (!units.isInt() || units.asInt() < 0)
-                return AllotmentError { "team " + team + ": units of " + incarnation + " are not a count" };
+                return AllotmentError { "team " + team + ": the units of incarnation " + incarnation
+                    + " are not a non-negative integer" };
             book.assign(TeamId(team), IncarnationId(incarnation), units.asInt());
         }
     }
--- a/modules/fleet/requests/limits/AllotmentBook.h
+++ b/modules/fleet/requests/limits/AllotmentBook.h
@@ -11,18 +11,18 @@
 
 namespace Greengage {
 
-/// The split of every team's upper limit into allotments, one for each incarnation of a daemon that holds any. It is
-/// kept as one value in the store and changed by compare-and-swap only.
+/// The division of every team's upper limit into allotments, one for each daemon incarnation that holds any. It is
+/// stored as one value and changed only by compare-and-swap.
 class AllotmentBook {
 public:
-    /// Reads the form that `format` writes; an empty text is an empty book.
+    /// Parses the text that `format` writes; an empty text is an empty book.
     static Result<AllotmentBook, AllotmentError> parse(std::string_view text);
     std::string format() const;
 
     int unitsOf(const TeamId&, const IncarnationId&) const;
-    /// Units of all incarnations together.
+    /// Sum of the units of all incarnations.
     int sumOf(const TeamId&) const;
-    /// An allotment of zero units is removed.
+    /// Sets an allotment; one of zero units is removed.
     void assign(const TeamId&, const IncarnationId&, int units);
 
     std::vector<TeamId> teamsOf(const IncarnationId&) const;
--- a/modules/fleet/requests/limits/AllotmentError.h
+++ b/modules/fleet/requests/limits/AllotmentError.h
@@ -4,7 +4,7 @@
 
 namespace Greengage {
 
-/// Why the value of all allotments could not be read.
+/// Why the stored allotments could not be parsed.
 struct AllotmentError {
     std::string detail;
 };
--- a/modules/fleet/requests/limits/AllotmentPlan.cpp
+++ b/modules/fleet/requests/limits/AllotmentPlan.cpp
@@ -13,9 +13,9 @@
 
 namespace {
 
-/// How long the most units in use are remembered before surplus units are handed back.
+/// Time over which the peak use is observed before surplus units are handed back.
 constexpr Milliseconds peakWindow { 5000 };
-/// Part of an allotment in use by which it may exceed its fair part before units are handed back.
+/// Divisor of the fair share: an allotment may exceed its fair share by this fraction before units are handed back.
 constexpr int fairShareTolerance = 8;
 
 } // namespace
--- a/modules/fleet/requests/limits/EndpointReport.h
+++ b/modules/fleet/requests/limits/EndpointReport.h
@@ -6,7 +6,7 @@
 
 namespace Greengage {
 
-/// How much work of one incarnation an endpoint has reported, by team.
+/// The running requests of one incarnation that an endpoint has reported, by team.
 struct EndpointReport {
     std::map<TeamId, int> running;
 };
--- a/modules/fleet/requests/limits/EscrowState.h
+++ b/modules/fleet/requests/limits/EscrowState.h
@@ -10,39 +10,39 @@
 
 namespace Greengage {
 
-/// What this daemon knows of the allotments of the teams' limits, and what it is doing to its own.
+/// What this daemon knows of the allotments of the teams' limits, and the state of its own writes to them.
 struct EscrowState {
-    /// The newest book that has been read, and its version in the store. Until one has been read it counts as absent,
-    /// which a write that expects version 0 finds out.
+    /// The newest book that has been read, and its version in the store. Before the first read it counts as absent; if
+    /// it exists, the first write, which expects version 0, fails.
     AllotmentBook book;
     std::uint64_t version = 0;
-    /// Whether the newest book could be understood.
+    /// Whether the newest book could be parsed.
     bool readable = true;
     bool writeUnderWay = false;
-    /// Whether some write of ours may still take effect.
+    /// Whether a write of this daemon may still take effect.
     bool unsettled = false;
-    /// Version that the newest write expects.
+    /// Version that the newest write expected.
     std::uint64_t writeExpects = 0;
-    /// Whether the write under way was made after the allotments had become void.
+    /// Whether the write in progress was sent after the allotments had become void.
     bool writeRenews = false;
-    /// Most units of a team that may be used while a write that lowers them is not settled.
+    /// Maximum of usable units of a team while a write that lowers its allotment is not settled.
     std::map<TeamId, int> ceilings;
-    /// Set after a loss of contact during which others may have reclaimed our allotments; cleared by a write that
-    /// succeeds, which proves that what we have read is current.
+    /// Set after a loss of contact during which others may have reclaimed the allotments of this daemon. A successful
+    /// write clears it, because that proves that the book read last is current.
     bool isVoid = false;
-    /// End of the contact with the store and the peers, as of the last tick.
+    /// Until when contact with the store and the peers lasts, as computed in the last tick.
     Instant contactEnd = Instant::max();
-    /// Whether a membership that was read has named this incarnation, and whether the newest one does.
+    /// Whether any membership list that was read contained this incarnation, and whether the newest one does.
     bool wasMember = false;
     bool isMember = false;
     int failedWrites = 0;
     Deadline nextWriteAt;
     Deadline nextPlanAt;
-    /// Until then the allotments are planned anew only if somebody waits for units.
+    /// Until this time the allotments are planned again only if a request waits for units.
     Deadline quietUntil;
     std::map<TeamId, TeamEscrow> teams;
     std::map<IncarnationId, ExpiredIncarnation> expired;
-    /// When a daemon that shuts down stops waiting for its allotments to be handed back.
+    /// When a daemon that is shutting down stops waiting for its allotments to be handed back.
     Deadline handBackBy = Deadline::never();
 };
 
--- a/modules/fleet/requests/limits/ExpiredAllotments.cpp
+++ b/modules/fleet/requests/limits/ExpiredAllotments.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-/// How long an incarnation must have been neither listed nor heard before its allotments may be reclaimed.
+/// How long an incarnation must have been neither listed nor seen before its allotments may be reclaimed.
 constexpr Milliseconds reclaimDelay { 8000 };
-/// How recently the store and the peers must have been heard by whoever reclaims.
+/// How recently the daemon that reclaims must have had contact with the store and the peers.
 constexpr Milliseconds contactBound { 3000 };
 constexpr Milliseconds askInterval { 1000 };
 
--- a/modules/fleet/requests/limits/ExpiredIncarnation.h
+++ b/modules/fleet/requests/limits/ExpiredIncarnation.h
@@ -8,9 +8,9 @@
 
 namespace Greengage {
 
-/// An incarnation that holds allotments and is neither listed nor heard any more.
+/// An incarnation that holds allotments and is neither listed nor seen any more.
 struct ExpiredIncarnation {
-    /// From then on it can start nothing, and reports of endpoints count.
+    /// From this time on the incarnation can start nothing, so reports of endpoints are conclusive.
     Deadline reclaimFrom;
     std::map<VmId, EndpointReport> reports;
 };
--- a/modules/fleet/requests/limits/LimitEscrow.cpp
+++ b/modules/fleet/requests/limits/LimitEscrow.cpp
@@ -13,12 +13,12 @@
 
 namespace {
 
-/// How long contact may be lost before the own allotments count as void. It must be well below the time after which
+/// How long contact may be lost before this daemon's allotments count as void. Must be well below the time after which
 /// others may reclaim them.
 constexpr Milliseconds contactGrace { 2000 };
 constexpr Milliseconds writeInterval { 50 };
 constexpr Milliseconds planInterval { 10 };
-/// How often allotments are planned anew while nobody waits and the last plan changed nothing.
+/// How often allotments are planned again while no request waits and the last plan changed nothing.
 constexpr Milliseconds quietPlanInterval { 250 };
 constexpr Milliseconds firstRetryDelay { 200 };
 constexpr Milliseconds longestRetryDelay { 2000 };
@@ -90,7 +90,7 @@
     if (!this->state.unsettled)
         this->state.ceilings.clear();
     if (!failed.mayHaveTakenEffect && this->state.version > this->state.writeExpects) {
-        // Another daemon was first. Backing off here would leave the value to the daemons that win anyway.
+        // Another daemon wrote first. Backing off here would leave the value to daemons that already win the races.
         this->state.nextWriteAt = Deadline::after(this->tick.now, writeInterval);
         return;
     }
--- a/modules/fleet/requests/limits/TeamEscrow.h
+++ b/modules/fleet/requests/limits/TeamEscrow.h
@@ -6,12 +6,13 @@
 
 namespace Greengage {
 
-/// How much of its allotment of one team this daemon has used of late.
+/// This daemon's recent use of its allotment of one team.
 struct TeamEscrow {
-    /// Most units in use within the window that ends at `windowEnd`.
+    /// Maximum of units in use within the window that ends at `windowEnd`.
     int peak = 0;
     Deadline windowEnd = Deadline::never();
-    /// Most units that starts may fill while a peer starves. Units that come free above it are handed back.
+    /// Maximum of units that may be in use when a request starts, while a peer starves. Units above it are handed back
+    /// when they become free.
     int startCap = std::numeric_limits<int>::max();
 };
 
--- a/modules/fleet/requests/messages/AllotmentsRead.h
+++ b/modules/fleet/requests/messages/AllotmentsRead.h
@@ -5,12 +5,12 @@
 
 namespace Greengage {
 
-/// The value under which the store keeps all daemons' allotments of the teams' limits, as read or as written by us.
+/// The stored allotments of all daemons, as read from the store or as written by this daemon.
 struct AllotmentsRead {
     /// 0 if the key does not exist yet.
     std::uint64_t version = 0;
     std::string value;
-    /// Whether this answers our own UpdateAllotments with success.
+    /// Whether this is the successful result of this daemon's UpdateAllotments.
     bool ownWrite = false;
 };
 
--- a/modules/fleet/requests/messages/AllotmentsWriteFailed.h
+++ b/modules/fleet/requests/messages/AllotmentsWriteFailed.h
@@ -2,7 +2,8 @@
 
 namespace Greengage {
 
-/// Our UpdateAllotments failed. With `mayHaveTakenEffect` it counts as made until the value has been read again.
+/// This daemon's UpdateAllotments failed. With `mayHaveTakenEffect`, the write counts as made until the value has been
+/// read again.
 struct AllotmentsWriteFailed {
     bool mayHaveTakenEffect = false;
 };
--- a/modules/fleet/requests/messages/AnswerCaller.h
+++ b/modules/fleet/requests/messages/AnswerCaller.h
@@ -6,11 +6,11 @@
 
 namespace Greengage {
 
-/// The three kinds of outcome that a caller can tell apart.
+/// The outcomes that a caller can tell apart.
 enum class Outcome {
-    /// The endpoint's whole answer is passed on.
+    /// The endpoint's complete answer is passed on.
     Answered,
-    /// No endpoint has run or will run the request.
+    /// No endpoint has run the request, and none will.
     NotRun,
     /// An endpoint may have run the request.
     Unknown,
@@ -24,7 +24,7 @@
     } };
 };
 
-/// Why a request was not run, or why its outcome is not known.
+/// Why a request was not run, or why its outcome is unknown.
 enum class OutcomeReason {
     None,
     NoDocument,
@@ -69,15 +69,15 @@
     } };
 };
 
-/// End a caller's request. For Answered the gateway passes on the answer of `attempt`.
+/// Ends a caller's request. For Answered, the gateway passes on the answer of `attempt`.
 struct AnswerCaller {
     RequestId request;
     Outcome outcome = Outcome::NotRun;
     OutcomeReason reason = OutcomeReason::None;
     int attempt = 0;
-    /// When a NotRun may be tried again; zero if a retry cannot help.
+    /// How long to wait before retrying a NotRun request; zero if a retry cannot help.
     Milliseconds retryAfter {};
-    /// Team whose work it was; empty if no key was accepted.
+    /// Team of the request; empty if no key was accepted.
     TeamId team;
 };
 
--- a/modules/fleet/requests/messages/AskRunning.h
+++ b/modules/fleet/requests/messages/AskRunning.h
@@ -7,7 +7,7 @@
 
 namespace Greengage {
 
-/// Ask an endpoint what it is running; answered with RunningReported, or not at all.
+/// Queries an endpoint for the requests that it is running. The answer is RunningReported; there may be none.
 struct AskRunning {
     VmId endpoint;
     std::string address;
--- a/modules/fleet/requests/messages/AttemptEnded.h
+++ b/modules/fleet/requests/messages/AttemptEnded.h
@@ -7,15 +7,15 @@
 
 /// How one attempt at an endpoint ended.
 enum class AttemptResult {
-    /// A whole answer came.
+    /// A complete answer arrived.
     Answered,
-    /// No byte of the request left this daemon (refused or timed-out connection).
+    /// No byte of the request was sent, because the connection was refused or timed out.
     NotSent,
-    /// The endpoint answered that it has not run the request (HTTP 503).
+    /// The endpoint answered that it did not run the request (HTTP 503).
     Refused,
-    /// Bytes were sent and the connection broke, or the answer was cut short.
+    /// Bytes were sent and the connection broke, or the answer was incomplete.
     Broken,
-    /// Bytes were sent and nothing came within the attempt's deadline.
+    /// Bytes were sent and no answer arrived before the attempt's deadline.
     Silent,
 };
 
--- a/modules/fleet/requests/messages/CallerLeft.h
+++ b/modules/fleet/requests/messages/CallerLeft.h
@@ -4,7 +4,7 @@
 
 namespace Greengage {
 
-/// The caller has closed its connection before its answer. Waiting work is dropped; work under way runs on.
+/// The caller closed its connection before it was answered. A waiting request is dropped; a running one continues.
 struct CallerLeft {
     RequestId request;
 };
--- a/modules/fleet/requests/messages/ClaimSettled.h
+++ b/modules/fleet/requests/messages/ClaimSettled.h
@@ -5,15 +5,15 @@
 
 namespace Greengage {
 
-/// How an attempt to claim a non-idempotent request under its idempotency key ended.
+/// Result of claiming a non-idempotent request under its idempotency key.
 enum class ClaimResult {
-    /// The claim is ours: the request may be sent once.
+    /// This submission holds the claim: the request may be sent once.
     Won,
-    /// Another submission holds the claim; this one must not run.
+    /// Another submission holds the claim; this one must not be run.
     Held,
-    /// Nothing was written and nothing will be: "not run" is true.
+    /// The claim was not written and will not be, so the request can be reported as not run.
     NotMade,
-    /// It could not be learnt in time whether the claim was written. The request has not been sent.
+    /// It is not known in time whether the claim was written. The request has not been sent.
     Unsettled,
 };
 
--- a/modules/fleet/requests/messages/DocumentApplied.h
+++ b/modules/fleet/requests/messages/DocumentApplied.h
@@ -6,7 +6,7 @@
 
 struct Document;
 
-/// A newer document has been parsed. The plane ignores one that is not newer than what it has.
+/// A newer document was parsed. The plane ignores it if it is not newer than its current one.
 struct DocumentApplied {
     std::shared_ptr<const Document> document;
 };
--- a/modules/fleet/requests/messages/EndpointsListed.h
+++ b/modules/fleet/requests/messages/EndpointsListed.h
@@ -9,12 +9,12 @@
 
 namespace Greengage {
 
-/// The platform's list of VMs has been read, or the maintenance ledger has changed.
+/// The platform's list of VMs was read, or the maintenance ledger changed.
 struct EndpointsListed {
     std::vector<VmRecord> vms;
-    /// VMs that maintenance holds out of service: they get no new work.
+    /// VMs that maintenance keeps out of service: they get no new requests.
     std::set<VmId> draining;
-    /// Revision of the maintenance ledger that `draining` was taken from; peers are told of it.
+    /// Revision of the maintenance ledger that `draining` was taken from; it is sent to peers.
     std::uint64_t ledgerRevision = 0;
 };
 
--- a/modules/fleet/requests/messages/MembersListed.h
+++ b/modules/fleet/requests/messages/MembersListed.h
@@ -6,7 +6,8 @@
 
 namespace Greengage {
 
-/// The membership in the store has been read: the daemons that hold a lease. Their zones are those that must be heard.
+/// The membership list was read from the store: the daemons that hold a lease. Contact is needed with the zones of
+/// these daemons.
 struct MembersListed {
     std::vector<PeerSighting> members;
 };
--- a/modules/fleet/requests/messages/PeerHeard.h
+++ b/modules/fleet/requests/messages/PeerHeard.h
@@ -5,11 +5,11 @@
 
 namespace Greengage {
 
-/// A peer's state has arrived.
+/// A state message of a peer arrived.
 struct PeerHeard {
     PeerState state;
-    /// When the exchange that brought it began, by our clock: its ages count from here, so that a message that was
-    /// long under way is not taken for fresh.
+    /// When this daemon began the exchange, by its own clock. The ages in the message are counted from here, so that a
+    /// delayed message does not count as fresh.
     Instant askedAt;
 };
 
--- a/modules/fleet/requests/messages/RequestArrived.h
+++ b/modules/fleet/requests/messages/RequestArrived.h
@@ -8,15 +8,15 @@
 
 namespace Greengage {
 
-/// A caller has sent a whole request. The gateway keeps its body; the request plane decides by what stands here.
+/// A complete request of a caller arrived. The gateway keeps its body; the request plane decides by these fields.
 struct RequestArrived {
     RequestId request;
     QueueId queue;
-    /// What the caller showed as its key, "<name>.<secret>"; empty if none.
+    /// Access key given by the caller, "<name>.<secret>"; empty if none.
     std::string bearer;
-    /// Chosen by the caller to mark retries of one request; empty if none.
+    /// Chosen by the caller to identify retries of one request; empty if none.
     std::string idempotencyKey;
-    /// When the caller stops waiting.
+    /// When the caller stops waiting for the answer.
     Deadline deadline;
     std::size_t bodyBytes = 0;
 };
--- a/modules/fleet/requests/messages/RunningReported.h
+++ b/modules/fleet/requests/messages/RunningReported.h
@@ -8,10 +8,10 @@
 
 namespace Greengage {
 
-/// An endpoint has answered what it is running.
+/// An endpoint reported the requests that it is running.
 struct RunningReported {
     VmId endpoint;
-    /// When the question was sent: work that ended before this instant is no longer listed.
+    /// When the query was sent: work that ended before this instant is no longer listed.
     Instant askedAt;
     std::vector<RunningWork> running;
 };
--- a/modules/fleet/requests/messages/RunningWork.h
+++ b/modules/fleet/requests/messages/RunningWork.h
@@ -4,7 +4,7 @@
 
 namespace Greengage {
 
-/// One piece of work that an endpoint says is running.
+/// A request that an endpoint reports as running.
 struct RunningWork {
     RequestId request;
     TeamId team;
--- a/modules/fleet/requests/messages/SendAttempt.h
+++ b/modules/fleet/requests/messages/SendAttempt.h
@@ -8,8 +8,8 @@
 
 namespace Greengage {
 
-/// Send the request's body to an endpoint. The gateway checks `notAfter` once more right before the first byte and
-/// reports NotSent if it has passed.
+/// Sends the request's body to an endpoint. The gateway checks `notAfter` again right before the first byte and reports
+/// NotSent if it has passed.
 struct SendAttempt {
     RequestId request;
     int attempt = 0;
@@ -17,11 +17,11 @@
     std::string address;
     std::uint16_t port = 0;
     TeamId team;
-    /// Last instant at which the first byte may leave.
+    /// Last instant at which the first byte may be sent.
     Deadline notAfter;
-    /// When the attempt counts as Silent.
+    /// When the attempt times out and is reported as Silent.
     Deadline answerBy;
-    /// Whether a new connection must be opened, rather than an idle one reused.
+    /// Whether a new connection must be opened instead of reusing an idle one.
     bool freshConnection = false;
 };
 
--- a/modules/fleet/requests/messages/ShutdownRequested.h
+++ b/modules/fleet/requests/messages/ShutdownRequested.h
@@ -2,7 +2,7 @@
 
 namespace Greengage {
 
-/// The daemon is to stop: new requests are refused, those accepted are finished, allotments are handed back.
+/// The daemon must shut down: new requests are refused, accepted ones are finished and allotments are handed back.
 struct ShutdownRequested { };
 
 } // namespace Greengage
--- a/modules/fleet/requests/messages/StoreConfirmed.h
+++ b/modules/fleet/requests/messages/StoreConfirmed.h
@@ -6,9 +6,9 @@
 
 namespace Greengage {
 
-/// The store has answered a read of the document's revision.
+/// The store answered a read of the document's revision.
 struct StoreConfirmed {
-    /// When the question was sent: the answer is at least as new as this.
+    /// When the read was sent: the answer is at least as new as this.
     Instant askedAt;
     std::uint64_t documentRevision = 0;
 };
--- a/modules/fleet/requests/messages/UpdateAllotments.h
+++ b/modules/fleet/requests/messages/UpdateAllotments.h
@@ -5,7 +5,7 @@
 
 namespace Greengage {
 
-/// Compare-and-swap the value of all allotments. At most one is under way at a time.
+/// Writes the value of all allotments by compare-and-swap. At most one such write is in progress at a time.
 struct UpdateAllotments {
     std::uint64_t expectedVersion = 0;
     std::string value;
--- a/modules/fleet/requests/messages/WriteClaim.h
+++ b/modules/fleet/requests/messages/WriteClaim.h
@@ -7,12 +7,12 @@
 
 namespace Greengage {
 
-/// Create a claim in the store, if nobody has, and answer with ClaimSettled.
+/// Creates a claim in the store unless it exists. The result is ClaimSettled.
 struct WriteClaim {
     RequestId request;
-    /// Key in the store, made from the team and a digest of the idempotency key.
+    /// Key in the store, derived from the team and a digest of the idempotency key.
     std::string storeKey;
-    /// After this the claim is no longer wanted.
+    /// Deadline after which the claim is no longer needed.
     Deadline settleBy;
 };
 
--- a/modules/fleet/requests/policy/LimitSplit.h
+++ b/modules/fleet/requests/policy/LimitSplit.h
@@ -4,11 +4,11 @@
 
 namespace Greengage {
 
-/// How a team's upper limit is split between daemons.
+/// How a team's upper limit is divided between daemons.
 enum class LimitSplit {
-    /// Allotments that move with the demand.
+    /// Allotments that follow the demand.
     Escrow,
-    /// Equal fixed parts for all listed daemons, as a baseline to compare with.
+    /// Equal fixed shares for all listed daemons, as a baseline for comparison.
     EqualParts,
 };
 
--- a/modules/fleet/requests/policy/RequestPolicy.h
+++ b/modules/fleet/requests/policy/RequestPolicy.h
@@ -6,7 +6,7 @@
 
 namespace Greengage {
 
-/// The choices of the request plane that a measurement compares. Production uses the defaults.
+/// Alternative policies of the request plane, for comparison in measurements. Production uses the defaults.
 struct RequestPolicy {
     ServingOrder order = ServingOrder::FairShares;
     SlotUse slots = SlotUse::Divided;
--- a/modules/fleet/requests/policy/ServingOrder.h
+++ b/modules/fleet/requests/policy/ServingOrder.h
@@ -6,9 +6,10 @@
 
 /// Which waiting request of a service is started next.
 enum class ServingOrder {
-    /// The most urgent first; within a priority the team that runs least in the fleet for its share.
+    /// Most urgent priority first; within a priority, the team with the fewest running requests in the fleet relative
+    /// to its share.
     FairShares,
-    /// In order of arrival, as a baseline to compare with.
+    /// In order of arrival, as a baseline for comparison.
     FirstCome,
 };
 
--- a/modules/fleet/requests/policy/SlotUse.h
+++ b/modules/fleet/requests/policy/SlotUse.h
@@ -4,11 +4,11 @@
 
 namespace Greengage {
 
-/// How many slots of an endpoint a daemon uses.
+/// Number of slots of an endpoint that a daemon may use.
 enum class SlotUse {
-    /// Its part by the demand of all live daemons.
+    /// Its share by the demand of all live daemons.
     Divided,
-    /// Up to all of them, as a baseline to compare with.
+    /// Up to all of them, as a baseline for comparison.
     Undivided,
 };
 
--- a/modules/fleet/requests/sharing/DaemonDemand.h
+++ b/modules/fleet/requests/sharing/DaemonDemand.h
@@ -4,7 +4,7 @@
 
 namespace Greengage {
 
-/// How much work of one team or one service a live daemon has.
+/// Number of requests of one team or one service at a live daemon.
 struct DaemonDemand {
     IncarnationId incarnation;
     int running = 0;
--- a/modules/fleet/requests/sharing/FleetUsage.h
+++ b/modules/fleet/requests/sharing/FleetUsage.h
@@ -9,17 +9,17 @@
 
 class LiveDemand;
 
-/// How much of each service every team uses in the whole fleet, as far as this daemon knows.
+/// Number of running requests of each team at each service in the whole fleet, as far as this daemon knows.
 class FleetUsage {
 public:
-    /// Adds up the lines of this daemon and the demand that live peers have told of.
+    /// Adds up the running requests of this daemon and those that live peers report.
     FleetUsage(const Tick&, const LiveDemand&);
 
-    /// Notes that one more request has been started here.
+    /// Records that this daemon has started another request.
     void addStart(const ServiceTeam&);
-    /// Running requests of the team at the service, for each unit of its share.
+    /// Running requests of the team at the service, divided by the team's share.
     double loadOf(const ServiceTeam&) const;
-    /// Whether the team runs more than all others at the service together, and others run there too.
+    /// Whether the team has more running requests at the service than all other teams together, and others have any.
     bool dominates(const ServiceTeam&) const;
 
 private:
--- a/modules/fleet/requests/sharing/LiveDemand.cpp
+++ b/modules/fleet/requests/sharing/LiveDemand.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// How long a peer's demand counts after it has spoken.
+/// How long a peer's demand counts after its last state message.
 constexpr Milliseconds demandRetention { 3000 };
 
 bool isLive(const PeerRow& peer, Instant now)
--- a/modules/fleet/requests/sharing/LiveDemand.h
+++ b/modules/fleet/requests/sharing/LiveDemand.h
@@ -10,8 +10,8 @@
 
 namespace Greengage {
 
-/// The demand of this daemon and of the peers that have spoken of late, summed up in one pass over their lines. Every
-/// list has one entry for each of these daemons, in the order of incarnations.
+/// The demand of this daemon and of the peers whose state arrived recently. Every list has one entry for each of these
+/// daemons, ordered by incarnation.
 class LiveDemand {
 public:
     explicit LiveDemand(const Tick&);
@@ -20,7 +20,7 @@
     std::vector<DaemonDemand> ofService(const ServiceId&) const;
     /// Running requests of all daemons together, for each team and service that has any.
     const std::map<ServiceTeam, int>& running() const { return this->runningTotals; }
-    /// This daemon's place in the lists.
+    /// Index of this daemon in the lists.
     std::size_t ownIndex() const { return this->ownPosition; }
 
 private:
--- a/modules/fleet/requests/sharing/ProportionalDivision.h
+++ b/modules/fleet/requests/sharing/ProportionalDivision.h
@@ -4,9 +4,9 @@
 
 namespace Greengage {
 
-/// Splits `total` whole units by weight with the method of largest remainders; equal remainders go to the earlier
-/// entries. The parts sum to `total` unless every weight is zero, in which case all parts are zero. Whoever knows the
-/// same weights in the same order computes the same parts.
+/// Divides `total` whole units in proportion to the weights by the largest remainder method; equal remainders go to the
+/// earlier entries. The parts sum to `total`, unless all weights are zero, in which case all parts are zero. Daemons
+/// that use the same weights in the same order compute the same parts.
 std::vector<int> divideByWeight(int total, const std::vector<double>& weights);
 
 } // namespace Greengage
--- a/modules/fleet/requests/sharing/ServiceTeam.h
+++ b/modules/fleet/requests/sharing/ServiceTeam.h
@@ -4,7 +4,7 @@
 
 namespace Greengage {
 
-/// Names the work of one team on one service.
+/// Key for the requests of one team at one service.
 struct ServiceTeam {
     ServiceId service;
     TeamId team;
--- a/modules/fleet/requests/sharing/SlotShares.cpp
+++ b/modules/fleet/requests/sharing/SlotShares.cpp
@@ -16,7 +16,7 @@
 
 std::vector<int> SlotShares::divide(int slots, const std::vector<int>& demands)
 {
-    // A daemon without work counts as having one request, so that its next one finds a slot.
+    // A daemon without demand counts as having one request, so that its next one finds a slot.
     std::vector<int> wanted(demands.size());
     std::transform(demands.begin(), demands.end(), wanted.begin(), [](int demand) { return std::max(demand, 1); });
     int total = std::accumulate(wanted.begin(), wanted.end(), 0);
@@ -62,7 +62,7 @@
     if (endpoints.empty())
         return;
     auto parts = divide(slotsPerEndpoint * static_cast<int>(endpoints.size()), demands);
-    // The slots are counted endpoint by endpoint in rounds, and each daemon takes the next ones in its turn.
+    // Slots are numbered round-robin over the endpoints, and each daemon takes the next consecutive range.
     auto first = std::accumulate(parts.begin(), parts.begin() + static_cast<std::ptrdiff_t>(own), 0);
     for (int slot = first; slot < first + parts[own]; ++slot)
         ownSlots[endpoints[static_cast<std::size_t>(slot) % endpoints.size()]] += 1;
--- a/modules/fleet/requests/sharing/SlotShares.h
+++ b/modules/fleet/requests/sharing/SlotShares.h
@@ -10,22 +10,22 @@
 
 class LiveDemand;
 
-/// Divides the slots of a service's endpoints between the live daemons by their demand. Daemons that know the same
-/// demand compute the same division, so that together they use no more than an endpoint's slots. While there are more
-/// slots than demand, the rest is divided evenly, so that new work can start at once everywhere.
+/// Divides the slots of a service's endpoints between the live daemons by their demand. Daemons with the same demand
+/// data compute the same division, so that together they use no more than an endpoint's slots. While there are more
+/// slots than demand, the remaining slots are divided evenly, so that new requests can start at once at every daemon.
 class SlotShares {
 public:
     static constexpr int slotsPerEndpoint = 8;
 
     SlotShares(const Tick&, const LiveDemand&);
 
-    /// How many requests this daemon may hold at the endpoint, which stands in the service.
+    /// Number of requests that this daemon may have running at an endpoint of the service.
     int slotsAt(const VmId&, const ServiceId&);
 
-    /// How many more requests this daemon may hold at the service's endpoints together.
+    /// Number of further requests that this daemon may start at the service's endpoints together.
     int freeAt(const ServiceId&);
 
-    /// Slots of all daemons together, one count for each demand in the order given.
+    /// Divides the slots by the demands; returns one count for each demand, in the same order.
     static std::vector<int> divide(int slots, const std::vector<int>& demands);
 
 private:
--- a/modules/fleet/requests/tables/EndpointRow.h
+++ b/modules/fleet/requests/tables/EndpointRow.h
@@ -8,31 +8,31 @@
 
 namespace Greengage {
 
-/// One endpoint that the platform lists and a pool of the document assigns to a service.
+/// An endpoint that the platform lists and a pool of the document assigns to a service.
 struct EndpointRow {
     VmId id;
     std::string address;
     std::uint16_t port = 0;
     ZoneId zone;
-    /// Service of the pool that it stands in; empty if it stands in none.
+    /// Service of the pool that contains the endpoint; empty if no pool does.
     ServiceId service;
-    /// Whether the platform still lists it.
+    /// Whether the platform still lists the VM.
     bool listed = false;
-    /// Whether maintenance holds it out of service.
+    /// Whether maintenance keeps it out of service.
     bool draining = false;
-    /// Whether it may get new work: listed as live and not draining.
+    /// Whether it may get new requests: listed as live and not draining.
     bool open = false;
-    /// How many requests of this daemon it holds.
+    /// Number of this daemon's requests that it is running, as far as known.
     int running = 0;
-    /// Failures since the last answer.
+    /// Number of failures since the last answer.
     int consecutiveFailures = 0;
     /// When it last answered.
     Instant answeredAt = Instant::min();
-    /// Until then an endpoint that keeps failing gets no work.
+    /// Until this time the endpoint gets no requests because it kept failing.
     Deadline setAsideUntil;
-    /// Until then an endpoint that has refused for want of a slot gets no work.
+    /// Until this time the endpoint gets no requests because it refused one for lack of a free slot.
     Deadline pausedUntil;
-    /// When it may next be asked what it runs.
+    /// When it may next be queried for its running requests.
     Deadline askAgainAt;
 };
 
--- a/modules/fleet/requests/tables/PeerRow.h
+++ b/modules/fleet/requests/tables/PeerRow.h
@@ -6,14 +6,14 @@
 
 namespace Greengage {
 
-/// What is known of one incarnation of another daemon.
+/// What this daemon knows of one incarnation of another daemon.
 struct PeerRow {
     ZoneId zone;
-    /// Whether the last membership read from the store named it.
+    /// Whether the last membership list read from the store contained it.
     bool listed = false;
-    /// When it was last known to be alive, directly or through others.
+    /// When it was last seen, directly or by another daemon.
     Instant lastSeenAt = Instant::min();
-    /// When it last spoke to us itself, and what it said.
+    /// When it last sent its state to this daemon, and that state.
     Instant directlySeenAt = Instant::min();
     PeerState state;
 };
--- a/modules/fleet/requests/tables/QuantileEstimate.cpp
+++ b/modules/fleet/requests/tables/QuantileEstimate.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// The steps up and down together are one part in this many of the estimate.
+/// The step up and the step down add up to the estimate divided by this.
 constexpr int stepDivisor = 8;
 
 } // namespace
--- a/modules/fleet/requests/tables/QuantileEstimate.h
+++ b/modules/fleet/requests/tables/QuantileEstimate.h
@@ -4,11 +4,11 @@
 
 namespace Greengage {
 
-/// A running estimate of one quantile of a stream of times. Each sample moves it by a step in proportion to its size,
-/// so it follows a change of the load and needs no memory of earlier samples.
+/// Running estimate of one quantile of a stream of durations. Each sample moves the estimate by a step in proportion to
+/// its size, so that it follows changes of the load without storing samples.
 class QuantileEstimate {
 public:
-    /// `percent` is the part of the samples that shall lie below the estimate, between 1 and 99.
+    /// `percent` is the percentage of samples that should lie below the estimate, between 1 and 99.
     explicit QuantileEstimate(int percent);
 
     void add(Microseconds);
--- a/modules/fleet/requests/tables/RequestLifecycle.cpp
+++ b/modules/fleet/requests/tables/RequestLifecycle.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// How long bytes of a broken attempt may still be under way to the endpoint.
+/// How long bytes of a broken attempt may still be on their way to the endpoint.
 constexpr Milliseconds settlementDelay { 250 };
 
 } // namespace
@@ -24,7 +24,8 @@
     auto& teamQueue = this->tick.tables.teamQueues[key];
     teamQueue.waiting += waiting;
     teamQueue.running += running;
-    assertInvariant(teamQueue.waiting >= 0 && teamQueue.running >= 0, "counts of a line are not negative");
+    assertInvariant(
+        teamQueue.waiting >= 0 && teamQueue.running >= 0, "a team's waiting line must not have a negative count");
     auto& usage = this->tick.tables.usage[key.team];
     usage.waiting += waiting;
     usage.running += running;
@@ -72,7 +73,7 @@
     auto found = this->tick.tables.endpoints.find(endpoint);
     if (found == this->tick.tables.endpoints.end())
         return;
-    assertInvariant(found->second.running > 0, "a released slot was in use");
+    assertInvariant(found->second.running > 0, "a released slot of an endpoint was in use");
     found->second.running -= 1;
 }
 
--- a/modules/fleet/requests/tables/RequestLifecycle.h
+++ b/modules/fleet/requests/tables/RequestLifecycle.h
@@ -10,27 +10,29 @@
 struct UnknownWork;
 struct TeamQueueKey;
 
-/// The moves of a request from stage to stage. It keeps the counts of lines and endpoints in step with the rows.
+/// Transitions of a request between its stages. Updates the counts of team queues and endpoints together with the rows.
 class RequestLifecycle {
 public:
     explicit RequestLifecycle(Tick&);
 
-    /// Adds a new request at the end of its line.
+    /// Adds a new request at the end of its team queue.
     void enqueue(RequestRow);
-    /// Puts a request back to the front of its line. Its slot and unit must have been released or handed over before.
+    /// Puts a request back at the front of its team queue. Its slot and its unit of the limit must have been released
+    /// or handed over before.
     void requeue(RequestRow&);
-    /// Takes a waiting request out of its line and gives it a unit of its team's limit and a slot of an endpoint.
+    /// Moves a waiting request to the stage Sent and gives it a unit of its team's limit and a slot of an endpoint.
     void start(RequestRow&, const VmId& endpoint);
-    /// Frees the slot of an endpoint and the unit of the team's limit that a request holds.
+    /// Releases the endpoint's slot and the unit of the team's limit that a request holds.
     void release(const RequestRow&);
-    /// Frees the slot and the unit of work whose end has become known.
+    /// Releases the slot and the unit of work that is known to have ended.
     void release(const UnknownWork&);
-    /// Hands the slot and the unit of a sent request over to the table of work whose end is not known.
+    /// Moves the slot and the unit of a sent request to the table of work whose end is not known.
     void holdAsUnknown(RequestRow&);
-    /// Ends a request that is not being sent: "not run", or "unknown" if an earlier attempt may have run it.
+    /// Ends a request that has no attempt in progress: as "not run", or as "unknown" if an earlier attempt may have run
+    /// it.
     void refuse(RequestRow&, OutcomeReason);
-    /// Ends the request with an answer to its caller and forgets it. The row is invalid afterwards. A unit that it
-    /// holds must have been released or handed over before.
+    /// Answers the caller and removes the request. The row is invalid afterwards. A unit that it holds must have been
+    /// released or handed over before.
     void finish(RequestRow&, Outcome, OutcomeReason, Milliseconds retryAfter = {});
 
 private:
--- a/modules/fleet/requests/tables/RequestRow.h
+++ b/modules/fleet/requests/tables/RequestRow.h
@@ -11,16 +11,16 @@
 
 namespace Greengage {
 
-/// One request that this daemon has accepted and not yet answered.
+/// A request that this daemon has accepted and not yet answered.
 struct RequestRow {
     RequestId id;
     QueueId queue;
     ServiceId service;
-    /// Team whose work it is; empty for work of an open queue whose owner is no team.
+    /// Team of the request; empty on an open queue whose owner is not a team.
     TeamId team;
-    /// Key under which it was admitted; empty on an open queue.
+    /// Key with which it was admitted; empty on an open queue.
     KeyId key;
-    /// What the key stood for in the document when it was shown.
+    /// Team, salt and digest of the key in the document at admission.
     std::string keyDigest;
     Priority priority = Priority::Normal;
     bool idempotent = false;
@@ -34,14 +34,14 @@
     bool claimed = false;
     /// Number of attempts so far; the newest attempt has this number.
     int attempts = 0;
-    /// Whether some earlier attempt may have run it.
+    /// Whether an earlier attempt may have run the request.
     bool mayHaveRun = false;
-    /// How the newest attempt failed, as the reason to report if there is no other.
+    /// Whether the newest attempt was refused; the reason to report if there is no other.
     bool lastAttemptRefused = false;
     VmId endpoint;
-    /// Endpoints that have failed this request.
+    /// Endpoints at which this request has failed.
     std::set<VmId> tried;
-    /// Nobody waits for the answer any more.
+    /// Whether the caller has left, so that no answer is needed.
     bool callerLeft = false;
 };
 
--- a/modules/fleet/requests/tables/RequestStage.h
+++ b/modules/fleet/requests/tables/RequestStage.h
@@ -4,12 +4,12 @@
 
 namespace Greengage {
 
-/// How far a request has come.
+/// Stages of a request.
 enum class RequestStage {
     Waiting,
     /// Its claim is being written to the store.
     Claiming,
-    /// An attempt is under way.
+    /// An attempt is in progress.
     Sent,
 };
 
--- a/modules/fleet/requests/tables/RequestTables.h
+++ b/modules/fleet/requests/tables/RequestTables.h
@@ -24,51 +24,51 @@
 
 namespace Greengage {
 
-/// All that the request plane knows. The systems read and change it within one tick.
+/// All state of the request plane. The systems read and change it within one tick.
 struct RequestTables {
     /// This daemon's identity.
     PeerState self;
     RequestPolicy policy;
     /// The document in use; null until the first one has been applied.
     std::shared_ptr<const Document> document;
-    /// Parts of the document in use, by name.
+    /// Entries of the document in use, by name.
     std::map<QueueId, const Queue*> queues;
     std::map<TeamId, const Team*> teams;
     KeyVerifier keys;
     std::map<RequestId, RequestRow> requests;
-    /// Requests by the instant at which their deadline passes; may name requests that have ended.
+    /// Requests by deadline; may contain requests that have ended.
     std::multimap<Instant, RequestId> deadlines;
     std::map<TeamQueueKey, TeamQueue> teamQueues;
     std::map<IncarnationId, PeerRow> peers;
-    /// Whether the membership has ever been read from the store.
+    /// Whether a membership list has been read from the store.
     bool membersKnown = false;
-    /// Newest revision of the document that has been heard of.
+    /// Newest revision of the document that this daemon knows of, applied or not.
     std::uint64_t knownRevision = 0;
-    /// When the question was sent whose answer from the store, ours or a peer's, is the newest.
+    /// When the newest read that the store answered was sent, by this daemon or by a peer.
     Instant confirmedAt = Instant::min();
-    /// The same for this daemon's own questions.
+    /// The same for this daemon's own reads only.
     Instant storeAnsweredAt = Instant::min();
-    /// The sums of the lines of each team.
+    /// Sums over the team queues of each team.
     std::map<TeamId, TeamUsage> usage;
     std::map<QueueId, RunTimeEstimate> runTimes;
     std::map<VmId, EndpointRow> endpoints;
-    /// Whether the platform's list has ever been read.
+    /// Whether the platform's list of VMs has been read.
     bool endpointsKnown = false;
     /// Revision of the maintenance ledger that the draining endpoints were taken from.
     std::uint64_t ledgerRevision = 0;
     std::vector<UnknownWork> unknownWork;
     std::map<ServiceId, RetryBudget> retryBudgets;
-    /// Claims that this daemon has won and not used, by their key in the store, until they are forgotten.
+    /// Claims that this daemon won and did not use, by their key in the store, until they expire.
     std::map<std::string, Deadline> unusedClaims;
     EscrowState escrow;
     bool shuttingDown = false;
-    /// Whether a shutdown has nothing left to finish or hand back.
+    /// Whether a shutdown has no request left to finish and no allotment left to hand back.
     bool idle = false;
 
-    /// Puts a document in use.
+    /// Replaces the document in use.
     void apply(std::shared_ptr<const Document>);
 
-    /// Looks up parts of the document in use; null if absent.
+    /// Finds an entry of the document in use; null if absent.
     const Queue* findQueue(const QueueId&) const;
     const Team* findTeam(const TeamId&) const;
 
--- a/modules/fleet/requests/tables/RunTimeEstimate.h
+++ b/modules/fleet/requests/tables/RunTimeEstimate.h
@@ -5,17 +5,17 @@
 
 namespace Greengage {
 
-/// What is known of the time that answers of one queue take, from the sending of a request.
+/// Estimates how long answers of one queue take, measured from the sending of a request.
 class RunTimeEstimate {
 public:
     void add(Microseconds);
-    /// Takes an attempt that had not been answered after the given time.
+    /// Records an attempt that was not answered within the given time.
     void addUnanswered(Microseconds);
 
     /// Zero until the first answer.
     Microseconds median() const { return this->medianEstimate.value(); }
-    /// How much time must be left for a request to be worth sending that had `whole` on arrival: enough for most
-    /// answers, or for half of them if most take longer than the whole time. Zero if even these do.
+    /// Minimum of remaining time at which sending a request is worthwhile, if it had `total` on arrival: enough for
+    /// most answers, or for half of them if most take longer than `total`. Zero if even half of them take longer.
     Microseconds requiredTime(Microseconds total) const;
 
 private:
--- a/modules/fleet/requests/tables/TeamQueue.h
+++ b/modules/fleet/requests/tables/TeamQueue.h
@@ -6,13 +6,14 @@
 
 namespace Greengage {
 
-/// The work of one team on one queue in this daemon, in order of arrival.
+/// The requests of one team in one queue of this daemon, in order of arrival.
 struct TeamQueue {
-    /// Requests to be started. Ids of requests that no longer wait are passed over when they reach the front.
+    /// Requests to be started. Ids of requests that no longer wait are skipped when they reach the front.
     std::deque<RequestId> order;
-    /// How many requests wait.
+    /// Number of waiting requests.
     int waiting = 0;
-    /// How many hold a unit of the team's limit: claiming, under way, or sent with an end that is not known yet.
+    /// Number of requests that hold a unit of the team's limit: being claimed, in progress, or sent with an end that is
+    /// not known yet.
     int running = 0;
 };
 
--- a/modules/fleet/requests/tables/TeamQueueKey.h
+++ b/modules/fleet/requests/tables/TeamQueueKey.h
@@ -4,7 +4,7 @@
 
 namespace Greengage {
 
-/// Names the work of one team on one queue.
+/// Key for the requests of one team in one queue.
 struct TeamQueueKey {
     QueueId queue;
     TeamId team;
--- a/modules/fleet/requests/tables/TeamUsage.h
+++ b/modules/fleet/requests/tables/TeamUsage.h
@@ -2,9 +2,9 @@
 
 namespace Greengage {
 
-/// How much work of one team this daemon has, over all queues.
+/// Number of requests of one team at this daemon, over all queues.
 struct TeamUsage {
-    /// Units of the team's limit in use, as in `WorkLine::running`.
+    /// Units of the team's limit in use, as in `TeamQueue::running`.
     int running = 0;
     int waiting = 0;
 };
--- a/modules/fleet/requests/tables/Tick.h
+++ b/modules/fleet/requests/tables/Tick.h
@@ -9,7 +9,7 @@
 
 struct RequestTables;
 
-/// What a system works on within one tick: the tables, the current instant and the outputs so far.
+/// Context of a system within one tick: the tables, the current instant and the outputs so far.
 struct Tick {
     RequestTables& tables;
     Instant now;
--- a/modules/fleet/requests/tables/UnknownWork.h
+++ b/modules/fleet/requests/tables/UnknownWork.h
@@ -7,12 +7,13 @@
 namespace Greengage {
 
 /// An attempt that was sent and whose end is not known. It keeps its unit of the team's limit and its slot until the
-/// endpoint reports that it does not run the request.
+/// endpoint reports that it is not running the request.
 struct UnknownWork {
     RequestId request;
     TeamQueueKey teamQueue;
     VmId endpoint;
-    /// A report counts if it was asked for after this instant, so that bytes still under way have arrived.
+    /// Only reports that were requested at or after this instant count, because by then bytes on their way have
+    /// arrived.
     Instant settlesAfter;
 };
 
