--- a/modules/fleet/tests/ClaimTests.cpp
+++ b/modules/fleet/tests/ClaimTests.cpp
@@ -110,8 +110,10 @@
     int begun = 0;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         auto result = runOrders(true, seed);
-        BOOST_TEST(result.begunTwice == 0, "seed " << seed << ": begun more than once: " << result.begunTwice);
-        BOOST_TEST(result.untrueNotRun == 0, "seed " << seed << ": untrue not run: " << result.untrueNotRun);
+        BOOST_TEST(result.begunTwice == 0, "seed " << seed << ": orders started more than once: " << result.begunTwice);
+        BOOST_TEST(result.untrueNotRun == 0,
+            "seed " << seed << ": submissions answered \"not run\" although an endpoint had started them: "
+                    << result.untrueNotRun);
         orders += result.orders;
         begun += result.begun;
     }
--- a/modules/fleet/tests/FreshnessTests.cpp
+++ b/modules/fleet/tests/FreshnessTests.cpp
@@ -9,7 +9,7 @@
 public:
     FreshnessFixture() { this->startServing(); }
 
-    /// Hears a peer that knows the revision and has heard the others just now.
+    /// Delivers the state of a peer that has applied the revision, with the given observations.
     void receiveState(const std::string& incarnation, const std::string& zone, std::uint64_t revision = 1,
         Milliseconds confirmationAge = Milliseconds::max(), std::vector<PeerSighting> sightings = {})
     {
@@ -34,7 +34,7 @@
             MembersListed { { member("i1", "z1"), member("i2", "z2"), member("i3", "z3"), member("i4", "z3") } });
     }
 
-    /// "sent", or the reason for refusing a keyed request that arrives now.
+    /// Submits a keyed request now; returns "sent", or the reason of its refusal.
     std::string submitKeyed()
     {
         this->requests += 1;
--- a/modules/fleet/tests/GoldenSessionTests.cpp
+++ b/modules/fleet/tests/GoldenSessionTests.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// Records a session and compares it with the golden file of its name. With GREENGAGE_UPDATE_GOLDEN set, the file is
-/// written instead.
+/// Records a session and compares it with the golden file of that name. If GREENGAGE_UPDATE_GOLDEN is set, writes the
+/// file instead.
 class GoldenFixture : public PlaneFixture {
 public:
     GoldenFixture()
--- a/modules/fleet/tests/LimitEscrowTests.cpp
+++ b/modules/fleet/tests/LimitEscrowTests.cpp
@@ -20,8 +20,9 @@
     return document;
 }
 
-/// Random kills, restarts, freezes, cuts, outages, lost answers and changes of the limit under a load of one team, and
-/// a check of what really runs whenever an endpoint begins a request.
+/// Injects random kills, restarts, freezes, network partitions, store outages, lost answers and changes of the limit
+/// under the load of one team. Whenever an endpoint starts a request, compares the number of requests that actually run
+/// with the limit.
 class RandomSchedule {
 public:
     explicit RandomSchedule(std::uint64_t seed)
@@ -47,7 +48,7 @@
         return options;
     }
 
-    /// The limit in force, or the larger of two while a change may still be under way.
+    /// The limit in force, or the larger of two while a change may still be in progress.
     int effectiveLimit() const
     {
         bool settled = this->fleet.clock.current() >= this->changedAt + Seconds(5);
@@ -121,13 +122,13 @@
     }
 
     SimulatedFleet fleet;
-    /// Number of steps within which each kind of disturbance comes once on average.
+    /// Number of steps within which each kind of fault occurs once on average.
     int faultPeriod;
     int limit = 30;
     int previousLimit = 30;
     Instant changedAt = Instant {};
     std::uint64_t revision = 1;
-    /// Largest excess over the limit; negative while it has never been reached.
+    /// Largest excess over the limit; negative while the limit has never been reached.
     int worstExcess = -1000;
 };
 
@@ -268,14 +269,16 @@
     for (std::uint64_t seed = 1; seed <= scheduleSeeds; ++seed) {
         RandomSchedule schedule(seed);
         schedule.runSteps(1200);
-        BOOST_TEST(schedule.worstExcess <= 0, "seed " << seed << " passed the limit by " << schedule.worstExcess);
+        BOOST_TEST(schedule.worstExcess <= 0, "seed " << seed << " exceeded the limit by " << schedule.worstExcess);
         reached += schedule.worstExcess == 0 ? 1 : 0;
         auto answered = std::count_if(schedule.fleet.records.begin(), schedule.fleet.records.end(),
             [](const OutcomeRecord& record) { return record.ended && record.outcome == Outcome::Answered; });
         BOOST_TEST(answered > 100, "seed " << seed << " answered only " << answered);
         auto untrue = std::count_if(schedule.fleet.records.begin(), schedule.fleet.records.end(),
             [](const OutcomeRecord& record) { return record.reportedNotRun() && record.begun > 0; });
-        BOOST_TEST(untrue == 0, "seed " << seed << ": not run was said of " << untrue << " requests that had begun");
+        BOOST_TEST(untrue == 0,
+            "seed " << seed << ": " << untrue
+                    << " requests were answered \"not run\" although an endpoint had started them");
     }
     BOOST_TEST(reached > scheduleSeeds / 2);
 }
--- a/modules/fleet/tests/PlaneFixture.h
+++ b/modules/fleet/tests/PlaneFixture.h
@@ -12,7 +12,7 @@
 
 namespace Greengage {
 
-/// One request plane on a virtual clock, with a document of one service and two teams.
+/// A request plane on a virtual clock, with a document of one service and two teams.
 class PlaneFixture {
 public:
     PlaneFixture()
@@ -91,7 +91,7 @@
         return outputs;
     }
 
-    /// Answers a write of the allotments as a store would that nobody else writes to.
+    /// Answers writes of the allotments like a store without other writers.
     void answerWrites(std::vector<RequestOutput>& outputs)
     {
         for (const auto& update : pick<UpdateAllotments>(outputs)) {
@@ -126,7 +126,7 @@
         return picked;
     }
 
-    /// The only message of its kind among the outputs.
+    /// The only message of its kind among the outputs; a default one if there is none or more than one.
     template <typename Message> static Message only(const std::vector<RequestOutput>& outputs)
     {
         auto picked = pick<Message>(outputs);
@@ -138,7 +138,7 @@
     /// Whether writes of the allotments succeed at once; otherwise the test answers them.
     bool storeAnswers = true;
     int requests = 0;
-    /// Called with the inbox and the outbox of each tick.
+    /// Called with the inputs and the outputs of each tick.
     std::function<void(const std::vector<RequestInput>&, const std::vector<RequestOutput>&)> onTick;
 };
 
--- a/modules/fleet/tests/RetryTests.cpp
+++ b/modules/fleet/tests/RetryTests.cpp
@@ -9,7 +9,7 @@
 public:
     RetryFixture() { this->startServing(); }
 
-    /// Submits a request and gives its first attempt.
+    /// Submits a request and returns its first attempt.
     SendAttempt submit(const std::string& queue = "quotes")
     {
         this->requests += 1;
--- a/modules/fleet/tests/SessionTranscript.cpp
+++ b/modules/fleet/tests/SessionTranscript.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Instants are told in milliseconds of the virtual clock.
+/// Formats an instant in milliseconds of the virtual clock.
 std::string formatTime(Instant instant)
 {
     if (instant == Instant::max())
--- a/modules/fleet/tests/SessionTranscript.h
+++ b/modules/fleet/tests/SessionTranscript.h
@@ -9,7 +9,7 @@
 
 namespace Greengage {
 
-/// Writes a session of a request plane as text: each tick's instant, its inbox (">") and its outbox ("<").
+/// Formats a session of a request plane as text: each tick's instant, its inputs (">") and its outputs ("<").
 class SessionTranscript {
 public:
     void add(Instant now, const std::vector<RequestInput>&, const std::vector<RequestOutput>&);
--- a/modules/fleet/tests/SharingTests.cpp
+++ b/modules/fleet/tests/SharingTests.cpp
@@ -11,7 +11,7 @@
 
 constexpr Instant now { Seconds(100) };
 
-/// The tables of one of several daemons that know each other's demand.
+/// Tables of one of several daemons that know each other's demand.
 RequestTables makeTables(std::size_t own, const std::vector<int>& demands, int endpoints)
 {
     RequestTables tables;
--- a/modules/fleet/tests/simulation/BurstResult.h
+++ b/modules/fleet/tests/simulation/BurstResult.h
@@ -2,14 +2,14 @@
 
 namespace Greengage {
 
-/// What a burst of one team did to the others.
+/// Effect of a burst of one team on the other teams.
 struct BurstResult {
-    /// Part of the other teams' requests that were answered, in percent, and the 99th percentile of their latency.
+    /// Percentage of the other teams' requests that were answered, and the 99th percentile of their latency.
     double othersAnsweredPercent = 0;
     double othersP99Milliseconds = 0;
-    /// Part of the bursting team's requests that were answered, in percent.
+    /// Percentage of the bursting team's requests that were answered.
     double burstAnsweredPercent = 0;
-    /// How often an endpoint refused for want of a slot.
+    /// Number of requests refused by endpoints for lack of a free slot.
     double refusals = 0;
     double sendsPerRequest = 0;
 };
--- a/modules/fleet/tests/simulation/BurstRun.cpp
+++ b/modules/fleet/tests/simulation/BurstRun.cpp
@@ -10,7 +10,7 @@
 
 constexpr int endpointCount = 10;
 constexpr int teams = 5;
-/// Requests a second of one team on average.
+/// Mean rate of one team in requests per second.
 constexpr double meanRate = 100;
 constexpr double calmRate = meanRate / 20;
 constexpr double burstRate = meanRate * 5;
--- a/modules/fleet/tests/simulation/BurstRun.h
+++ b/modules/fleet/tests/simulation/BurstRun.h
@@ -7,8 +7,8 @@
 
 namespace Greengage {
 
-/// Five teams on a pool of 80 slots for 30 s. Each asks a twentieth of its mean, but the first, if `burst` is set, asks
-/// five times its mean for 10 s, which is 125% of what the pool holds.
+/// Five teams use a pool of 80 slots for 30 s. Each team sends a twentieth of its mean rate. If `burst` is set, the
+/// first team sends five times its mean rate for 10 s, which is 125% of the capacity of the pool.
 BurstResult runBurst(const RequestPolicy&, bool burst, std::uint64_t seed);
 
 } // namespace Greengage
--- a/modules/fleet/tests/simulation/FakeAllotmentStore.h
+++ b/modules/fleet/tests/simulation/FakeAllotmentStore.h
@@ -5,10 +5,10 @@
 
 namespace Greengage {
 
-/// The one value of the platform's store that holds the allotments.
+/// In-memory replacement for the stored value that holds the allotments.
 class FakeAllotmentStore {
 public:
-    /// Compare-and-swap; false if the version was another.
+    /// Compare-and-swap; false if the version differs.
     bool write(std::uint64_t expectedVersion, const std::string& newValue)
     {
         if (expectedVersion != this->version)
@@ -20,7 +20,7 @@
 
     std::uint64_t version = 0;
     std::string value;
-    /// Calls that asked for a write, whether or not it succeeded.
+    /// Number of attempted writes, whether or not they succeeded.
     int calls = 0;
     bool down = false;
 };
--- a/modules/fleet/tests/simulation/FakeEndpoint.h
+++ b/modules/fleet/tests/simulation/FakeEndpoint.h
@@ -8,16 +8,16 @@
 
 namespace Greengage {
 
-/// An endpoint with eight slots. Its work runs on when a daemon dies.
+/// An endpoint with eight slots. Its requests continue to run when a daemon is killed.
 class FakeEndpoint {
 public:
     static constexpr std::size_t slots = 8;
 
     VmRecord vm;
     std::map<RequestId, RunningWork> running;
-    /// Accepts connections and never answers.
+    /// Whether it accepts connections and never answers.
     bool silent = false;
-    /// How many requests it refused because every slot was in use.
+    /// Number of requests that it refused because all slots were in use.
     int refusals = 0;
 };
 
--- a/modules/fleet/tests/simulation/FleetOptions.h
+++ b/modules/fleet/tests/simulation/FleetOptions.h
@@ -16,12 +16,12 @@
     RequestPolicy policy;
     Microseconds networkDelay { 1000 };
     Microseconds storeDelay { 3000 };
-    /// Parts of the writes whose answer is lost, after taking effect at once or only later.
+    /// Fractions of the writes whose answer is lost: those that take effect at once, and those that take effect later.
     double lostWriteAnswers = 0;
     double lateWrites = 0;
-    /// Part of the claims whose answer is lost; half of them have been written.
+    /// Fraction of the claims whose answer is lost; half of these are written.
     double lostClaimAnswers = 0;
-    /// Part of the attempts whose connection breaks after the endpoint has begun.
+    /// Fraction of the attempts whose connection breaks after the endpoint has started the request.
     double brokenAttempts = 0;
 };
 
--- a/modules/fleet/tests/simulation/LimitRun.h
+++ b/modules/fleet/tests/simulation/LimitRun.h
@@ -4,13 +4,13 @@
 
 namespace Greengage {
 
-/// A fleet with one team that offers twice its limit.
+/// A fleet with one team whose offered load is twice its limit.
 class LimitRun {
 public:
     LimitRun(LimitSplit, int limit, std::uint64_t seed);
 
-    /// Offers the load to the first `loadedDaemons` daemons, or the next one if one of them is dead, and gives the mean
-    /// part of the limit that runs at the endpoints, in percent.
+    /// Sends the load to the first `loadedDaemons` daemons, or to the next one if one of them has been killed. Returns
+    /// the mean use of the limit at the endpoints in percent.
     double usedPercent(int loadedDaemons, int seconds);
 
     SimulatedFleet fleet;
--- a/modules/fleet/tests/simulation/OrderResult.h
+++ b/modules/fleet/tests/simulation/OrderResult.h
@@ -2,16 +2,16 @@
 
 namespace Greengage {
 
-/// What became of orders, each submitted up to four times.
+/// Outcomes of orders, each submitted up to four times.
 struct OrderResult {
     int orders = 0;
-    /// Orders that an endpoint began, and those that were begun more than once.
+    /// Orders that an endpoint started, and those that were started more than once.
     int begun = 0;
     int begunTwice = 0;
     /// Submissions, and those answered "unknown".
     int submissions = 0;
     int unknown = 0;
-    /// Submissions answered "not run" that an endpoint had begun.
+    /// Submissions answered "not run" that an endpoint had started.
     int untrueNotRun = 0;
 };
 
--- a/modules/fleet/tests/simulation/OrderRun.h
+++ b/modules/fleet/tests/simulation/OrderRun.h
@@ -6,8 +6,9 @@
 
 namespace Greengage {
 
-/// Submits 400 orders, each up to four times through different daemons, while daemons die and freeze, connections
-/// break, endpoints go silent and answers to claims are lost. Without idempotency keys no claims are made.
+/// Submits 400 orders, each up to four times through different daemons, while daemons are killed and frozen,
+/// connections break, endpoints become unresponsive and answers to claims are lost. Without idempotency keys no claims
+/// are made.
 OrderResult runOrders(bool withIdempotencyKeys, std::uint64_t seed);
 
 } // namespace Greengage
--- a/modules/fleet/tests/simulation/OutcomeRecord.h
+++ b/modules/fleet/tests/simulation/OutcomeRecord.h
@@ -5,7 +5,7 @@
 
 namespace Greengage {
 
-/// One request of a simulated caller and how it ended.
+/// A request of a simulated caller and its outcome.
 struct OutcomeRecord {
     bool reportedNotRun() const { return this->ended && this->outcome == Outcome::NotRun; }
 
@@ -16,9 +16,9 @@
     bool ended = false;
     Outcome outcome = Outcome::NotRun;
     OutcomeReason reason = OutcomeReason::None;
-    /// How often an endpoint began it.
+    /// Number of times that an endpoint started it.
     int begun = 0;
-    /// How often bytes of it were sent.
+    /// Number of times that bytes of it were sent.
     int sends = 0;
 };
 
--- a/modules/fleet/tests/simulation/SimulatedDaemon.h
+++ b/modules/fleet/tests/simulation/SimulatedDaemon.h
@@ -7,20 +7,20 @@
 
 namespace Greengage {
 
-/// One daemon of a simulated fleet: its request plane and what the world does to it.
+/// A daemon of a simulated fleet: its request plane and the faults applied to it.
 class SimulatedDaemon {
 public:
-    bool runs() const { return this->alive && !this->frozen; }
+    bool isRunning() const { return this->alive && !this->frozen; }
 
     PeerState identity;
     std::unique_ptr<RequestPlane> plane;
     bool alive = false;
     bool frozen = false;
-    /// Whether only the way to the store is cut.
+    /// Whether only the connection to the store is cut.
     bool storeCut = false;
     Instant leaseEnd = Instant::min();
     std::uint64_t appliedRevision = 0;
-    /// Inputs that arrived while it was frozen.
+    /// Inputs that arrived while the daemon was frozen.
     std::vector<RequestInput> pendingInputs;
 };
 
--- a/modules/fleet/tests/simulation/SimulatedFleet.cpp
+++ b/modules/fleet/tests/simulation/SimulatedFleet.cpp
@@ -90,7 +90,7 @@
         const auto& daemon = this->daemons[index];
         if (!daemon.alive || daemon.identity.incarnation != incarnation)
             return;
-        if (daemon.runs())
+        if (daemon.isRunning())
             action();
         this->repeat(index, incarnation, interval, action);
     });
@@ -169,7 +169,7 @@
     auto requester = this->daemons[from].identity.incarnation;
     this->after(this->options.networkDelay, [=, this] {
         const auto& peer = this->daemons[to];
-        if (!peer.runs() || !this->connected(this->daemons[from].identity.zone, peer.identity.zone))
+        if (!peer.isRunning() || !this->connected(this->daemons[from].identity.zone, peer.identity.zone))
             return;
         auto answer = peer.plane->describe(this->clock.current());
         this->after(this->options.networkDelay, [=, this] {
@@ -183,7 +183,7 @@
 {
     auto& daemon = this->daemons[index];
     this->deliver(index, daemon.identity.incarnation, PeerHeard { state, askedAt });
-    if (!daemon.runs() || state.appliedRevision <= daemon.appliedRevision)
+    if (!daemon.isRunning() || state.appliedRevision <= daemon.appliedRevision)
         return;
     for (const auto& document : this->documents) {
         if (document->revision == state.appliedRevision)
--- a/modules/fleet/tests/simulation/SimulatedFleet.h
+++ b/modules/fleet/tests/simulation/SimulatedFleet.h
@@ -17,20 +17,20 @@
 
 namespace Greengage {
 
-/// Several request planes on one virtual clock, with a fake store, fake endpoints and a network that can be cut. One
-/// seed gives one history.
+/// Several request planes on one virtual clock, with a fake store, fake endpoints and a network that can be
+/// partitioned. The same seed gives the same history.
 class SimulatedFleet {
 public:
     explicit SimulatedFleet(const FleetOptions&);
 
-    /// Puts a document of the given revision in force.
+    /// Puts a document in force.
     void accept(std::shared_ptr<const Document>);
-    /// Runs the virtual clock forward.
+    /// Advances the virtual clock and runs the events that fall due.
     void run(Microseconds span);
-    /// Calls a function at a later instant.
+    /// Schedules a call of a function after a delay.
     void after(Microseconds delay, std::function<void()>);
 
-    /// Sends a request to a daemon; it runs for `runTime` once begun. Gives the index of its record.
+    /// Sends a request to a daemon; it runs for `runTime` once started. Returns the index of its record.
     std::size_t submit(std::size_t daemon, const std::string& queue, const std::string& key, Microseconds timeout,
         Microseconds runTime, const std::string& idempotencyKey = {});
 
@@ -52,7 +52,7 @@
     std::vector<FakeEndpoint> endpoints;
     std::vector<OutcomeRecord> records;
     std::set<VmId> draining;
-    /// Called when an endpoint begins a request.
+    /// Called when an endpoint starts a request.
     std::function<void(const RunningWork&)> onBegin;
 
 private:
@@ -74,8 +74,8 @@
     void execute(std::size_t daemon, const UpdateAllotments&);
     void execute(std::size_t daemon, const AskRunning&);
 
-    void firstByte(std::size_t daemon, const IncarnationId&, const SendAttempt&);
-    void arrive(std::size_t daemon, const IncarnationId&, const SendAttempt&);
+    void sendFirstByte(std::size_t daemon, const IncarnationId&, const SendAttempt&);
+    void receiveAttempt(std::size_t daemon, const IncarnationId&, const SendAttempt&);
     void endAttempt(std::size_t daemon, const IncarnationId&, const SendAttempt&, AttemptResult);
     FakeEndpoint& endpointOf(const VmId&);
 
--- a/modules/fleet/tests/simulation/SimulatedFleetActions.cpp
+++ b/modules/fleet/tests/simulation/SimulatedFleetActions.cpp
@@ -6,7 +6,7 @@
 
 constexpr Milliseconds connectTimeout { 200 };
 constexpr Milliseconds lostAnswerTimeout { 500 };
-/// How much later than its loss a late write takes effect.
+/// Delay from the loss of its answer until a late write takes effect.
 constexpr Milliseconds lateWriteDelay { 900 };
 
 } // namespace
@@ -114,16 +114,16 @@
 void SimulatedFleet::execute(std::size_t daemon, const SendAttempt& attempt)
 {
     auto incarnation = this->daemons[daemon].identity.incarnation;
-    this->after(Microseconds(200), [=, this] { this->firstByte(daemon, incarnation, attempt); });
+    this->after(Microseconds(200), [=, this] { this->sendFirstByte(daemon, incarnation, attempt); });
 }
 
-void SimulatedFleet::firstByte(std::size_t index, const IncarnationId& incarnation, const SendAttempt& attempt)
+void SimulatedFleet::sendFirstByte(std::size_t index, const IncarnationId& incarnation, const SendAttempt& attempt)
 {
     auto& daemon = this->daemons[index];
     if (!daemon.alive || daemon.identity.incarnation != incarnation)
         return;
     if (daemon.frozen) {
-        this->after(Milliseconds(5), [=, this] { this->firstByte(index, incarnation, attempt); });
+        this->after(Milliseconds(5), [=, this] { this->sendFirstByte(index, incarnation, attempt); });
         return;
     }
     if (attempt.notAfter.hasPassed(this->clock.current()))
@@ -134,10 +134,10 @@
         return;
     }
     this->records[std::stoul(attempt.request.string())].sends += 1;
-    this->after(this->options.networkDelay, [=, this] { this->arrive(index, incarnation, attempt); });
+    this->after(this->options.networkDelay, [=, this] { this->receiveAttempt(index, incarnation, attempt); });
 }
 
-void SimulatedFleet::arrive(std::size_t index, const IncarnationId& incarnation, const SendAttempt& attempt)
+void SimulatedFleet::receiveAttempt(std::size_t index, const IncarnationId& incarnation, const SendAttempt& attempt)
 {
     auto& endpoint = this->endpointOf(attempt.endpoint);
     auto end = [=, this](AttemptResult result) { this->endAttempt(index, incarnation, attempt, result); };
