--- a/modules/fleet/requests/dispatch/Expiry.h
+++ b/modules/fleet/requests/dispatch/RequestExpiry.h
@@ -8,12 +8,12 @@
 struct CallerLeft;
 struct RequestRow;
 
-/// Ends requests that nobody waits for any more: their deadline has passed or their caller has left.
-class Expiry {
+/// Ends waiting requests whose deadline has passed or whose caller has left.
+class RequestExpiry {
 public:
-    explicit Expiry(Tick&);
+    explicit RequestExpiry(Tick&);
 
-    void take(const CallerLeft&);
+    void handle(const CallerLeft&);
     void run();
 
 private:
--- a/modules/fleet/tests/simulation/SimulatedFleetActions.cpp
+++ b/modules/fleet/tests/simulation/SimulatedFleetActions.cpp
@@ -6,7 +6,7 @@
 
 constexpr Milliseconds connectTimeout { 200 };
 constexpr Milliseconds lostAnswerTimeout { 500 };
-/// How much later than its loss a late write takes effect.
+/// Delay from the loss of its answer until a late write takes effect.
 constexpr Milliseconds lateWriteDelay { 900 };
 
 } // namespace
@@ -40,7 +40,7 @@
     return this->endpoints.front();
 }
 
-void SimulatedFleet::carryOut(std::size_t daemon, const AnswerCaller& answer)
+void SimulatedFleet::execute(std::size_t daemon, const AnswerCaller& answer)
 {
     auto& record = this->records[std::stoul(answer.request.string())];
     record.ended = true;
@@ -51,7 +51,7 @@
     static_cast<void>(daemon);
 }
 
-void SimulatedFleet::carryOut(std::size_t daemon, const WriteClaim& claim)
+void SimulatedFleet::execute(std::size_t daemon, const WriteClaim& claim)
 {
     auto incarnation = this->daemons[daemon].identity.incarnation;
     bool reached = this->reachesStore(this->daemons[daemon]);
@@ -68,7 +68,7 @@
     });
 }
 
-void SimulatedFleet::carryOut(std::size_t daemon, const UpdateAllotments& update)
+void SimulatedFleet::execute(std::size_t daemon, const UpdateAllotments& update)
 {
     this->store.calls += 1;
     auto incarnation = this->daemons[daemon].identity.incarnation;
@@ -77,9 +77,9 @@
         this->after(lostAnswerTimeout, [=] { answer(AllotmentsWriteFailed { false }); });
         return;
     }
-    auto fate = this->uniform();
-    bool late = fate < this->options.lateWrites;
-    bool lost = fate < this->options.lateWrites + this->options.lostWriteAnswers;
+    auto draw = this->uniform();
+    bool late = draw < this->options.lateWrites;
+    bool lost = draw < this->options.lateWrites + this->options.lostWriteAnswers;
     auto delay = late ? Microseconds(lostAnswerTimeout + lateWriteDelay) : this->options.storeDelay;
     this->after(delay, [=, this] {
         bool written = this->store.write(update.expectedVersion, update.value);
@@ -96,7 +96,7 @@
         this->after(lostAnswerTimeout, [=] { answer(AllotmentsWriteFailed { true }); });
 }
 
-void SimulatedFleet::carryOut(std::size_t daemon, const AskRunning& ask)
+void SimulatedFleet::execute(std::size_t daemon, const AskRunning& ask)
 {
     auto askedAt = this->clock.current();
     auto incarnation = this->daemons[daemon].identity.incarnation;
@@ -111,19 +111,19 @@
     });
 }
 
-void SimulatedFleet::carryOut(std::size_t daemon, const SendAttempt& attempt)
+void SimulatedFleet::execute(std::size_t daemon, const SendAttempt& attempt)
 {
     auto incarnation = this->daemons[daemon].identity.incarnation;
-    this->after(Microseconds(200), [=, this] { this->firstByte(daemon, incarnation, attempt); });
+    this->after(Microseconds(200), [=, this] { this->sendFirstByte(daemon, incarnation, attempt); });
 }
 
-void SimulatedFleet::firstByte(std::size_t index, const IncarnationId& incarnation, const SendAttempt& attempt)
+void SimulatedFleet::sendFirstByte(std::size_t index, const IncarnationId& incarnation, const SendAttempt& attempt)
 {
     auto& daemon = this->daemons[index];
     if (!daemon.alive || daemon.identity.incarnation != incarnation)
         return;
     if (daemon.frozen) {
-        this->after(Milliseconds(5), [=, this] { this->firstByte(index, incarnation, attempt); });
+        this->after(Milliseconds(5), [=, this] { this->sendFirstByte(index, incarnation, attempt); });
         return;
     }
     if (attempt.notAfter.hasPassed(this->clock.current()))
@@ -134,10 +134,10 @@
         return;
     }
     this->records[std::stoul(attempt.request.string())].sends += 1;
-    this->after(this->options.networkDelay, [=, this] { this->arrive(index, incarnation, attempt); });
+    this->after(this->options.networkDelay, [=, this] { this->receiveAttempt(index, incarnation, attempt); });
 }
 
-void SimulatedFleet::arrive(std::size_t index, const IncarnationId& incarnation, const SendAttempt& attempt)
+void SimulatedFleet::receiveAttempt(std::size_t index, const IncarnationId& incarnation, const SendAttempt& attempt)
 {
     auto& endpoint = this->endpointOf(attempt.endpoint);
     auto end = [=, this](AttemptResult result) { this->endAttempt(index, incarnation, attempt, result); };
