--- a/modules/fleet/maintenance/MaintenanceInput.h
+++ b/modules/fleet/maintenance/MaintenanceInput.h
@@ -15,7 +15,7 @@
 
 namespace Greengage {
 
-/// Everything that the maintenance plane can be told. PeerHeard and MembersListed include this daemon itself.
+/// Every input message of the maintenance plane. PeerHeard and MembersListed include this daemon itself.
 using MaintenanceInput = std::variant<DocumentApplied, EndpointsListed, MembersListed, PeerHeard, RunningReported,
     LedgerRead, LedgerReadFailed, LedgerWriteFailed, RebootReported, WaveCommanded>;
 
--- a/modules/fleet/maintenance/MaintenanceOutput.h
+++ b/modules/fleet/maintenance/MaintenanceOutput.h
@@ -13,7 +13,7 @@
 
 namespace Greengage {
 
-/// Everything that the maintenance plane can ask for.
+/// Every output message of the maintenance plane.
 using MaintenanceOutput
     = std::variant<ReadLedger, UpdateLedger, RebootVm, MoveVm, AskRunning, CommandSettled, WaveEvent, LedgerUnreadable>;
 
--- a/modules/fleet/maintenance/MaintenancePlane.cpp
+++ b/modules/fleet/maintenance/MaintenancePlane.cpp
@@ -45,10 +45,10 @@
         this->view.refresh(now);
         this->refreshWatches();
         this->settleCommands();
-        if (this->replica.takeReadRequest(now, this->ledgerNeededSince()))
+        if (this->replica.beginReadIfNeeded(now, this->ledgerNeededSince()))
             this->outputs.emplace_back(ReadLedger {});
         this->decide();
-        this->askPlatform();
+        this->requestPlatformActions();
         this->pollVms();
         return std::move(this->outputs);
     }
@@ -71,8 +71,8 @@
             pending.mayHaveTakenEffect = false;
     }
 
-    void apply(const LedgerReadFailed&) { this->replica.noteReadFailed(this->now); }
-    void apply(const LedgerWriteFailed&) { this->replica.noteWriteFailed(); }
+    void apply(const LedgerReadFailed&) { this->replica.recordReadFailure(this->now); }
+    void apply(const LedgerWriteFailed&) { this->replica.recordWriteFailure(); }
     void apply(const WaveCommanded& command) { this->commands.push_back({ command }); }
 
     void apply(const RebootReported& reported)
@@ -86,7 +86,7 @@
 
     template <typename Message> void apply(const Message& message) { this->view.apply(this->now, message); }
 
-    /// Keeps one watch for each VM out of service, renewed when the VM enters another phase.
+    /// Keeps one watch for each VM out of service and resets it when the VM enters another phase.
     void refreshWatches()
     {
         std::unordered_map<VmId, VmWatch> kept;
@@ -97,10 +97,10 @@
                 watch = found->second;
             if (watch.revision != entry.revision || watch.phase != entry.phase)
                 watch = this->makeWatch(entry);
-            if (!this->view.isCutOffFromWork(this->now, entry))
-                watch.quietSince.reset();
-            else if (!watch.quietSince)
-                watch.quietSince = this->now;
+            if (!this->view.isUnusedByEveryDaemon(this->now, entry))
+                watch.unusedSince.reset();
+            else if (!watch.unusedSince)
+                watch.unusedSince = this->now;
         }
         this->watches = std::move(kept);
     }
@@ -116,7 +116,7 @@
         return watch;
     }
 
-    /// A move is asked for only on a ledger that was read after the document it is based on.
+    /// A move is requested only from a ledger that was read after the document on which the move is based.
     Instant ledgerNeededSince() const
     {
         for (const auto& entry : this->ledger().vms) {
@@ -153,24 +153,24 @@
         return true;
     }
 
-    /// Runs the systems over a copy of the ledger and writes it if they have changed anything.
+    /// Runs the systems on a copy of the ledger and writes the copy if they changed it.
     void decide()
     {
-        const bool isDue = this->now >= this->decideAgainAt || !this->commands.empty();
+        const bool isDue = this->now >= this->nextDecisionAt || !this->commands.empty();
         if (!isDue || !this->mayDecide())
             return;
         auto draft = this->ledger();
         std::vector<WaveEvent> events;
-        // Entries made now carry the revision that the write will have.
+        // Entries created in this tick carry the revision that the write will have.
         draft.revision++;
         WaveContext context { this->now, this->view, draft, this->watches, events };
         this->applyFirstCommand(context);
-        if (this->isDriving() && this->now >= this->decideAgainAt) {
-            this->decideAgainAt = this->now + decideInterval;
-            recallDrains(context);
+        if (this->isDriving() && this->now >= this->nextDecisionAt) {
+            this->nextDecisionAt = this->now + decideInterval;
+            cancelDrainsOverBudget(context);
             advanceVms(context);
             startDrains(context);
-            settleWaves(context);
+            completeWaves(context);
         }
         draft.revision--;
         if (draft == this->ledger())
@@ -182,7 +182,7 @@
         this->outputs.emplace_back(UpdateLedger { version, std::move(value) });
     }
 
-    /// Commands are taken one a write, so that each sees what the one before has done.
+    /// Applies one command per write, so that each command sees the effect of the one before it.
     void applyFirstCommand(WaveContext& context)
     {
         while (!this->commands.empty()) {
@@ -197,25 +197,25 @@
         }
     }
 
-    void askPlatform()
+    void requestPlatformActions()
     {
         if (!this->mayDecide())
             return;
         for (const auto& entry : this->ledger().vms) {
             auto& watch = this->watches[entry.vm];
-            if (this->now < watch.askAgainAt)
+            if (this->now < watch.nextRequestAt)
                 continue;
             if (entry.phase == MaintenancePhase::Rebooting)
                 this->outputs.emplace_back(RebootVm { entry.vm, entry.revision });
             else if (entry.phase == MaintenancePhase::Moving)
-                this->askMove(entry);
+                this->requestMove(entry);
             else
                 continue;
-            watch.askAgainAt = this->now + stepRetryInterval;
+            watch.nextRequestAt = this->now + stepRetryInterval;
         }
     }
 
-    void askMove(const VmMaintenance& entry)
+    void requestMove(const VmMaintenance& entry)
     {
         const auto* pool = this->view.poolOf(entry.vm);
         if (!pool || pool->name != entry.from || this->replica.confirmedAt() <= this->view.documentAppliedAt())
@@ -223,20 +223,20 @@
         this->outputs.emplace_back(MoveVm { entry.vm, entry.from, entry.to, this->view.document()->revision });
     }
 
-    /// Asks the VMs of the pools under maintenance, and those of the same services, what they run.
+    /// Asks the VMs of the pools under maintenance, and those of the same services, which work they run.
     void pollVms()
     {
-        if (this->now < this->pollAgainAt || !this->isDriving())
+        if (this->now < this->nextPollAt || !this->isDriving())
             return;
-        this->pollAgainAt = this->now + pollInterval;
-        const auto touched = this->touchedPools();
+        this->nextPollAt = this->now + pollInterval;
+        const auto affected = this->affectedPools();
         std::set<ServiceId> services;
-        for (const auto* pool : touched) {
+        for (const auto* pool : affected) {
             if (!pool->service.isEmpty())
                 services.insert(pool->service);
         }
         for (const auto& pool : this->view.document()->pools) {
-            if (touched.count(&pool) == 0 && services.count(pool.service) == 0)
+            if (affected.count(&pool) == 0 && services.count(pool.service) == 0)
                 continue;
             for (const auto& vm : pool.vms) {
                 if (const auto* record = this->view.record(vm))
@@ -245,26 +245,26 @@
         }
     }
 
-    std::set<const Pool*> touchedPools() const
+    std::set<const Pool*> affectedPools() const
     {
         std::set<const Pool*> pools;
-        auto touch = [&](const Pool* pool) {
+        auto addPool = [&](const Pool* pool) {
             if (pool)
                 pools.insert(pool);
         };
         for (const auto& entry : this->ledger().vms) {
-            touch(this->view.poolOf(entry.vm));
-            touch(this->view.pool(entry.to));
+            addPool(this->view.poolOf(entry.vm));
+            addPool(this->view.pool(entry.to));
         }
         for (const auto& progress : this->ledger().waves) {
             if (!isActive(progress))
                 continue;
             for (const auto& vm : progress.remaining)
-                touch(this->view.poolOf(vm));
+                addPool(this->view.poolOf(vm));
             for (const auto& moved : progress.done)
-                touch(this->view.poolOf(moved.vm));
+                addPool(this->view.poolOf(moved.vm));
             if (const auto* wave = this->view.wave(progress.wave))
-                touch(this->view.pool(wave->target));
+                addPool(this->view.pool(wave->target));
         }
         return pools;
     }
@@ -275,8 +275,8 @@
     LedgerReplica replica;
     std::unordered_map<VmId, VmWatch> watches;
     std::vector<PendingCommand> commands;
-    Instant pollAgainAt = Instant::min();
-    Instant decideAgainAt = Instant::min();
+    Instant nextPollAt = Instant::min();
+    Instant nextDecisionAt = Instant::min();
     std::vector<MaintenanceOutput> outputs;
 };
 
--- a/modules/fleet/maintenance/MaintenancePlane.h
+++ b/modules/fleet/maintenance/MaintenancePlane.h
@@ -12,20 +12,20 @@
 
 struct MaintenanceLedger;
 
-/// Drives maintenance waves from one daemon. Every daemon runs one; the member with the smallest incarnation drives,
-/// and a second that believes the same does no harm, since each step is a compare-and-swap of the ledger. It knows no
-/// socket, no clock and no log; the same inputs at the same instants give the same outputs.
+/// Drives maintenance waves from one daemon. Every daemon runs one; the member with the smallest incarnation drives. A
+/// second daemon that also believes itself the driver does no harm, since each step is a compare-and-swap of the
+/// ledger. The plane uses no socket, clock or log; the same inputs at the same instants give the same outputs.
 class MaintenancePlane {
 public:
     explicit MaintenancePlane(IncarnationId self);
     ~MaintenancePlane();
 
-    /// Takes the inputs in order, runs every system once, and returns what is to be done. The daemon calls it soon
-    /// after each input and at the latest every 250 ms.
+    /// Applies the inputs in order, runs every system once and returns the actions to execute. The daemon calls it soon
+    /// after each input and at least every 250 ms.
     std::vector<MaintenanceOutput> tick(Instant now, std::vector<MaintenanceInput> inputs);
 
-    /// The newest ledger known. Its `outOfService` is what EndpointsListed calls draining, its revision what PeerState
-    /// calls the applied revision of the ledger.
+    /// The newest known ledger. Its `outOfService` is the draining set of EndpointsListed, and its revision is the
+    /// applied ledger revision of PeerState.
     const MaintenanceLedger& ledger() const;
 
 private:
--- a/modules/fleet/maintenance/ledger/LedgerError.h
+++ b/modules/fleet/maintenance/ledger/LedgerError.h
@@ -6,7 +6,7 @@
 
 /// Why a stored ledger could not be decoded.
 struct LedgerError {
-    /// The member at fault and what was expected there.
+    /// The invalid member and the value that was expected.
     std::string detail;
 };
 
--- a/modules/fleet/maintenance/ledger/MaintenanceLedger.cpp
+++ b/modules/fleet/maintenance/ledger/MaintenanceLedger.cpp
@@ -59,7 +59,7 @@
     return value;
 }
 
-/// Reads members of a stored ledger and remembers the first that is not of the expected kind.
+/// Reads members of a stored ledger and records the first that has the wrong type.
 class LedgerReader {
 public:
     std::string text(const Json::Value& object, const char* member, bool required = true)
@@ -67,7 +67,7 @@
         if (object.isObject() && object[member].isString())
             return object[member].asString();
         if (required || (object.isObject() && object.isMember(member)))
-            this->refuse(member, "a text");
+            this->recordError(member, "a text");
         return {};
     }
 
@@ -76,7 +76,7 @@
         if (object.isObject() && object[member].isUInt64())
             return object[member].asUInt64();
         if (required || (object.isObject() && object.isMember(member)))
-            this->refuse(member, "a whole number");
+            this->recordError(member, "a whole number");
         return 0;
     }
 
@@ -85,7 +85,7 @@
         if (!object.isObject() || !object.isMember(member))
             return false;
         if (!object[member].isBool())
-            this->refuse(member, "true or false");
+            this->recordError(member, "true or false");
         return object[member].isBool() && object[member].asBool();
     }
 
@@ -93,7 +93,7 @@
     {
         auto value = enumFromName<Enum>(this->text(object, member));
         if (!value)
-            this->refuse(member, "one of the known names");
+            this->recordError(member, "one of the known names");
         return value.value_or(Enum {});
     }
 
@@ -101,7 +101,7 @@
     {
         if (object.isObject() && object[member].isArray())
             return object[member];
-        this->refuse(member, "a list");
+        this->recordError(member, "a list");
         return Json::Value(Json::arrayValue);
     }
 
@@ -110,23 +110,23 @@
         std::vector<VmId> vms;
         for (const auto& name : this->list(object, member)) {
             if (!name.isString())
-                this->refuse(member, "a list of texts");
+                this->recordError(member, "a list of texts");
             else
                 vms.emplace_back(name.asString());
         }
         return vms;
     }
 
-    void refuse(const char* member, const char* expected)
+    void recordError(const char* member, const char* expected)
     {
-        if (this->fault.empty())
-            this->fault = std::string(member) + ": expected " + expected;
+        if (this->error.empty())
+            this->error = std::string(member) + ": expected " + expected;
     }
 
-    const std::string& firstFault() const { return this->fault; }
+    const std::string& firstError() const { return this->error; }
 
 private:
-    std::string fault;
+    std::string error;
 };
 
 VmMaintenance decodeVm(LedgerReader& reader, const Json::Value& value)
@@ -157,7 +157,7 @@
         if (entry.isArray() && entry.size() == 2 && entry[0].isString() && entry[1].isString())
             wave.done.push_back({ VmId(entry[0].asString()), PoolId(entry[1].asString()) });
         else
-            reader.refuse("done", "pairs of a VM and a pool");
+            reader.recordError("done", "pairs of a VM and a pool");
     }
     return wave;
 }
@@ -227,8 +227,8 @@
         ledger.vms.push_back(decodeVm(reader, entry));
     for (const auto& wave : reader.list(root, "waves"))
         ledger.waves.push_back(decodeWave(reader, wave));
-    if (!reader.firstFault().empty())
-        return LedgerError { reader.firstFault() };
+    if (!reader.firstError().empty())
+        return LedgerError { reader.firstError() };
     return ledger;
 }
 
--- a/modules/fleet/maintenance/ledger/MaintenanceLedger.h
+++ b/modules/fleet/maintenance/ledger/MaintenanceLedger.h
@@ -16,12 +16,12 @@
 /// Key of the ledger in the platform's store.
 inline constexpr std::string_view ledgerKey = "fleet/ledger";
 
-/// Everything that maintenance has under way: the VMs that it holds out of service and the progress of each wave. It is
-/// one value in the store and changes only by compare-and-swap, so any daemon can go on from it.
+/// The state of all maintenance: the VMs that it keeps out of service and the progress of each wave. The ledger is one
+/// value in the store and changes only by compare-and-swap, so any daemon can continue from it.
 struct MaintenanceLedger {
-    /// Grows by one with each write; 0 for a ledger that has never been written.
+    /// Increases by one with each write; 0 for a ledger that has never been written.
     std::uint64_t revision = 0;
-    /// Newest revision of the document that a writer has gone by. A daemon with an older document writes nothing.
+    /// Newest document revision on which a write was based. A daemon with an older document writes nothing.
     std::uint64_t documentRevision = 0;
     std::vector<VmMaintenance> vms;
     std::vector<WaveProgress> waves;
@@ -32,13 +32,13 @@
     const WaveProgress* find(const WaveId&) const;
     void erase(const VmId&);
 
-    /// The VMs that get no new work.
+    /// The VMs that receive no new work.
     std::set<VmId> outOfService() const;
 
     bool operator==(const MaintenanceLedger&) const = default;
 
     std::string encode() const;
-    /// Decodes a stored value. An empty text is the ledger that has never been written.
+    /// Decodes a stored value. An empty text decodes to a ledger that has never been written.
     static Result<MaintenanceLedger, LedgerError> decode(const std::string& text);
 };
 
--- a/modules/fleet/maintenance/ledger/MaintenancePhase.h
+++ b/modules/fleet/maintenance/ledger/MaintenancePhase.h
@@ -4,15 +4,15 @@
 
 namespace Greengage {
 
-/// How far maintenance has come with one VM. In every phase the VM gets no new work.
+/// The stage of maintenance of one VM. In every phase the VM receives no new work.
 enum class MaintenancePhase {
-    /// Its work is running out. It can still be put back.
+    /// Its running work is finishing. The drain can still be cancelled.
     Draining,
-    /// It was seen drained and the platform is to reboot it.
+    /// It is drained and waits for the platform to reboot it.
     Rebooting,
-    /// It was seen drained and the document is to name it in its new pool.
+    /// It is drained and waits for the document to list it in its new pool.
     Moving,
-    /// It is to answer again before it gets work.
+    /// It must answer a poll again before it receives work.
     Joining,
 };
 
--- a/modules/fleet/maintenance/ledger/MovedVm.h
+++ b/modules/fleet/maintenance/ledger/MovedVm.h
@@ -4,10 +4,10 @@
 
 namespace Greengage {
 
-/// A VM that a wave has finished with.
+/// A VM whose maintenance by a wave is complete.
 struct MovedVm {
     VmId vm;
-    /// Pool that it came from, for a rollback; empty when it was not moved.
+    /// The pool it was moved from, needed for a rollback; empty if it was not moved.
     PoolId from;
 
     bool operator==(const MovedVm&) const = default;
--- a/modules/fleet/maintenance/ledger/VmMaintenance.h
+++ b/modules/fleet/maintenance/ledger/VmMaintenance.h
@@ -7,7 +7,7 @@
 
 namespace Greengage {
 
-/// One VM that maintenance holds out of service.
+/// One VM that maintenance keeps out of service.
 struct VmMaintenance {
     VmId vm;
     WaveId wave;
@@ -16,14 +16,14 @@
     MaintenancePhase phase = MaintenancePhase::Draining;
     /// Pool of the VM when its drain began.
     PoolId from;
-    /// Pool that a Move takes it to; empty for a Reboot.
+    /// The target pool of a Move; empty for a Reboot.
     PoolId to;
-    /// Revision of the ledger that began the drain. It grows from one maintenance of a VM to the next, so it also
-    /// numbers the reboot that the platform is asked for.
+    /// Ledger revision that started the drain. It increases with each maintenance of a VM, so it also serves as the
+    /// operation number of the reboot requested from the platform.
     std::uint64_t revision = 0;
-    /// For a Joining VM that was moved, the revision of the document that named it in its new pool; otherwise 0.
+    /// For a Joining VM that was moved, the revision of the document that listed it in its new pool; otherwise 0.
     std::uint64_t documentRevision = 0;
-    /// Whether it is a move back, for a wave that is being rolled back.
+    /// Whether the VM is moved back because its wave is rolled back.
     bool isRollback = false;
 
     bool operator==(const VmMaintenance&) const = default;
--- a/modules/fleet/maintenance/ledger/WaveProgress.h
+++ b/modules/fleet/maintenance/ledger/WaveProgress.h
@@ -9,16 +9,16 @@
 
 namespace Greengage {
 
-/// The newest run of one wave. A VM of the run stands in exactly one of `remaining`, `done`, `stuck` and the ledger's
-/// VMs out of service, or has been dropped because the document no longer names it.
+/// The most recent run of one wave. A VM of the run is in exactly one of `remaining`, `done`, `stuck` and the ledger's
+/// VMs out of service, or has been dropped because the document no longer lists it.
 struct WaveProgress {
     WaveId wave;
     WaveState state = WaveState::Running;
-    /// The newest command taken, so that one whose answer was lost is not taken twice.
+    /// The most recent command applied. A command that is repeated because its answer was lost is not applied twice.
     std::string lastCommand;
     std::vector<VmId> remaining;
     std::vector<MovedVm> done;
-    /// VMs that were put back because they had not drained in time.
+    /// VMs whose drain timed out and was cancelled.
     std::vector<VmId> stuck;
 
     bool operator==(const WaveProgress&) const = default;
--- a/modules/fleet/maintenance/ledger/WaveState.h
+++ b/modules/fleet/maintenance/ledger/WaveState.h
@@ -4,16 +4,16 @@
 
 namespace Greengage {
 
-/// Where one wave stands.
+/// The state of one wave.
 enum class WaveState {
     Running,
-    /// No further VM is taken; those already taken are finished.
+    /// No further drain starts; VMs already out of service are finished.
     Paused,
-    /// Draining VMs are put back, and VMs that a Move has moved are moved back.
+    /// Drains are cancelled, and VMs that a Move has moved are moved back.
     RollingBack,
     /// Every VM has been maintained.
     Done,
-    /// Nothing is left to do but VMs that would not drain; `resume` tries them again.
+    /// Only VMs whose drain timed out are left; `resume` retries them.
     Stuck,
     RolledBack,
 };
--- a/modules/fleet/maintenance/messages/CommandOutcome.h
+++ b/modules/fleet/maintenance/messages/CommandOutcome.h
@@ -4,16 +4,16 @@
 
 namespace Greengage {
 
-/// What became of an operator's command to a wave.
+/// The outcome of an operator's command to a wave.
 enum class CommandOutcome {
     Accepted,
     /// The document has no such wave.
     UnknownWave,
-    /// The wave's state does not allow it, such as `resume` of a wave that never started.
+    /// The wave's state does not allow the command, such as `resume` of a wave that never started.
     WrongState,
-    /// The store did not take it in time; it has no effect.
+    /// The command was not stored before its deadline and has no effect.
     NotAccepted,
-    /// The store's answer was lost; the wave's status tells whether it took effect.
+    /// The store's answer was lost; the wave's status shows whether the command took effect.
     Unknown,
 };
 
--- a/modules/fleet/maintenance/messages/CommandSettled.h
+++ b/modules/fleet/maintenance/messages/CommandSettled.h
@@ -6,7 +6,7 @@
 
 namespace Greengage {
 
-/// Answer the operator who gave the command.
+/// Answer the operator who submitted the command.
 struct CommandSettled {
     std::string command;
     CommandOutcome outcome = CommandOutcome::Accepted;
--- a/modules/fleet/maintenance/messages/LedgerReadFailed.h
+++ b/modules/fleet/maintenance/messages/LedgerReadFailed.h
@@ -2,7 +2,7 @@
 
 namespace Greengage {
 
-/// Our ReadLedger failed; the plane asks again later.
+/// This daemon's ReadLedger failed; the plane retries later.
 struct LedgerReadFailed { };
 
 } // namespace Greengage
--- a/modules/fleet/maintenance/messages/LedgerUnreadable.h
+++ b/modules/fleet/maintenance/messages/LedgerUnreadable.h
@@ -4,7 +4,7 @@
 
 namespace Greengage {
 
-/// The stored ledger could not be decoded; nothing is decided until it can. An operator has to look at it.
+/// The stored ledger could not be decoded. The plane decides nothing until it can be, and an operator must intervene.
 struct LedgerUnreadable {
     std::string detail;
 };
--- a/modules/fleet/maintenance/messages/MoveVm.h
+++ b/modules/fleet/maintenance/messages/MoveVm.h
@@ -6,9 +6,9 @@
 
 namespace Greengage {
 
-/// Take a VM out of one pool's `vms` and into another's in one change of the document. The change must be made against
-/// exactly `baseRevision`, without merging into a newer one, and is dropped if that is no longer the newest: a newer
-/// document leads to a new MoveVm. The outcome shows in the next DocumentApplied.
+/// Move a VM from one pool's `vms` to another's in a single document change. The change must be based on exactly
+/// `baseRevision`, without a merge into a newer document, and is dropped if that is no longer the newest: a newer
+/// document leads to a new MoveVm. The next DocumentApplied shows the outcome.
 struct MoveVm {
     VmId vm;
     PoolId from;
--- a/modules/fleet/maintenance/messages/RebootReported.h
+++ b/modules/fleet/maintenance/messages/RebootReported.h
@@ -6,12 +6,12 @@
 
 namespace Greengage {
 
-/// The platform has answered a RebootVm.
+/// The platform answered a RebootVm.
 struct RebootReported {
     VmId vm;
-    /// Number of the newest reboot that the platform has taken for the VM.
+    /// Operation number of the newest reboot that the platform has accepted for the VM.
     std::uint64_t operation = 0;
-    /// Whether that reboot is over.
+    /// Whether that reboot is complete.
     bool done = false;
 };
 
--- a/modules/fleet/maintenance/messages/WaveCommanded.h
+++ b/modules/fleet/maintenance/messages/WaveCommanded.h
@@ -8,13 +8,13 @@
 
 namespace Greengage {
 
-/// An operator has given a command. Each is settled by exactly one CommandSettled.
+/// An operator submitted a command. Each command is answered by exactly one CommandSettled.
 struct WaveCommanded {
-    /// Chosen at random by whoever submits it. Submitting a command again under the same id has no second effect.
+    /// Random id chosen by the submitter. Submitting a command again under the same id has no further effect.
     std::string command;
     WaveId wave;
     WaveVerb verb = WaveVerb::Start;
-    /// When to give up; the command is then settled as not accepted, or as unknown if a write of it may have taken
+    /// After this deadline the command is answered as not accepted, or as unknown if a write of it may have taken
     /// effect.
     Deadline deadline;
 };
--- a/modules/fleet/maintenance/messages/WaveEvent.h
+++ b/modules/fleet/maintenance/messages/WaveEvent.h
@@ -5,17 +5,17 @@
 
 namespace Greengage {
 
-/// What has happened to a VM in a wave, as this daemon wrote it into the ledger.
+/// A change of a VM's state in a wave that this daemon wrote to the ledger.
 enum class WaveEventKind {
     DrainStarted,
     Drained,
     Rejoining,
     Finished,
-    /// Put back because it had not drained in time.
+    /// The drain was cancelled because the VM did not drain in time.
     DrainTimedOut,
-    /// Put back because unplanned failures have used up the budget, or because of a rollback.
-    PutBack,
-    /// Dropped because the document no longer names it.
+    /// The drain was cancelled because unplanned failures used up the budget, or because of a rollback.
+    DrainCancelled,
+    /// The VM was dropped because the document no longer lists it.
     Dropped,
 };
 
@@ -26,12 +26,12 @@
         { WaveEventKind::Rejoining, "rejoining" },
         { WaveEventKind::Finished, "finished" },
         { WaveEventKind::DrainTimedOut, "drain_timed_out" },
-        { WaveEventKind::PutBack, "put_back" },
+        { WaveEventKind::DrainCancelled, "drain_cancelled" },
         { WaveEventKind::Dropped, "dropped" },
     } };
 };
 
-/// A line for the log, given when the write that it tells of has succeeded.
+/// A log event, emitted once the write that contains the change has succeeded.
 struct WaveEvent {
     WaveEventKind kind = WaveEventKind::DrainStarted;
     VmId vm;
--- a/modules/fleet/maintenance/messages/WaveVerb.h
+++ b/modules/fleet/maintenance/messages/WaveVerb.h
@@ -4,7 +4,7 @@
 
 namespace Greengage {
 
-/// What an operator asks of a wave.
+/// A command that an operator can give to a wave.
 enum class WaveVerb {
     Start,
     Pause,
--- a/modules/fleet/maintenance/plan/WavePlan.cpp
+++ b/modules/fleet/maintenance/plan/WavePlan.cpp
@@ -30,7 +30,7 @@
     return view;
 }
 
-/// Rounds that a group of VMs needs under a bound on how many may be out at once.
+/// The rounds that a group of VMs needs under a bound on how many may be out of service at once.
 struct BoundedGroup {
     int count = 0;
     int bound = 1;
@@ -60,7 +60,7 @@
     return perVm * rounds;
 }
 
-/// Runs the wave round by round on the ledger, with nothing else under maintenance.
+/// Simulates the wave round by round on the ledger, with no other maintenance in progress.
 void runWave(WavePlan& plan, const FleetView& view, MaintenanceLedger& ledger, Seconds perVm)
 {
     const std::unordered_map<VmId, VmWatch> watches;
--- a/modules/fleet/maintenance/plan/WavePlan.h
+++ b/modules/fleet/maintenance/plan/WavePlan.h
@@ -12,16 +12,17 @@
 struct VmRecord;
 struct Wave;
 
-/// A dry run of a wave: what it would do if no VM failed and each took the expected time.
+/// The result of a dry run of a wave, assuming that no VM fails and each takes the expected time.
 struct WavePlan {
-    /// In the order in which the VMs are taken.
+    /// In the order in which the VMs are taken out of service.
     std::vector<WavePlanStep> steps;
-    /// VMs that the platform does not list as live, or that no budget lets out; the wave would wait for them.
+    /// VMs that the platform does not list as live, or that no budget allows out of service; the wave would wait for
+    /// them.
     std::vector<VmId> waiting;
     Seconds duration {};
-    /// Least time that the budgets and the expected time for a VM allow in any order.
+    /// The minimum time that the budgets and the expected time per VM allow in any order.
     Seconds lowerBound {};
-    /// Most VMs out of service at once: the buffer to hold while the wave runs.
+    /// The maximum number of VMs out of service at once: the spare capacity to provide while the wave runs.
     int mostOut = 0;
 };
 
--- a/modules/fleet/maintenance/plan/WavePlanStep.h
+++ b/modules/fleet/maintenance/plan/WavePlanStep.h
@@ -5,7 +5,7 @@
 
 namespace Greengage {
 
-/// When a planned wave takes one VM out of service and when it returns, counted from the start of the wave.
+/// When a planned wave takes one VM out of service and when it returns it, relative to the start of the wave.
 struct WavePlanStep {
     VmId vm;
     Seconds takenAt {};
--- a/modules/fleet/maintenance/systems/AdvanceSystem.cpp
+++ b/modules/fleet/maintenance/systems/AdvanceSystem.cpp
@@ -1,9 +1,9 @@
 #include <config/model/Document.h>
 #include <fleet/maintenance/ledger/MaintenanceLedger.h>
 #include <fleet/maintenance/systems/AdvanceSystem.h>
+#include <fleet/maintenance/systems/DrainCancellation.h>
 #include <fleet/maintenance/systems/FleetView.h>
 #include <fleet/maintenance/systems/OutageTable.h>
-#include <fleet/maintenance/systems/PutBack.h>
 #include <fleet/maintenance/systems/WaveContext.h>
 
 #include <algorithm>
@@ -12,13 +12,14 @@
 
 namespace {
 
-/// How long a VM must have been out of every daemon's reach before its report of no work is believed.
+/// How long every daemon must have stopped using a VM before the VM's report of no work is trusted.
 constexpr Seconds drainSettleTime(1);
 
 bool isDrained(const WaveContext& context, const VmMaintenance& entry, const VmWatch& watch)
 {
-    const auto* sighting = context.view.sighting(entry.vm);
-    return watch.quietSince && sighting && sighting->isIdle && sighting->askedAt >= *watch.quietSince + drainSettleTime;
+    const auto* observation = context.view.observation(entry.vm);
+    return watch.unusedSince && observation && observation->isIdle
+        && observation->askedAt >= *watch.unusedSince + drainSettleTime;
 }
 
 void advanceDraining(WaveContext& context, const VmMaintenance& entry, const VmWatch& watch)
@@ -28,9 +29,9 @@
         context.draft.find(entry.vm)->phase = next;
         context.report(WaveEventKind::Drained, entry.vm, entry.wave);
     } else if (!context.view.wave(entry.wave) && !entry.isRollback) {
-        putBack(context, entry, WaveEventKind::PutBack);
+        cancelDrain(context, entry, WaveEventKind::DrainCancelled);
     } else if (watch.drainDeadline.hasPassed(context.now)) {
-        putBack(context, entry, WaveEventKind::DrainTimedOut);
+        cancelDrain(context, entry, WaveEventKind::DrainTimedOut);
     }
 }
 
@@ -58,8 +59,8 @@
 
 void advanceJoining(WaveContext& context, const VmMaintenance& entry, const VmWatch& watch)
 {
-    const auto* sighting = context.view.sighting(entry.vm);
-    const bool hasAnswered = sighting && sighting->askedAt >= watch.since;
+    const auto* observation = context.view.observation(entry.vm);
+    const bool hasAnswered = observation && observation->askedAt >= watch.since;
     if (hasAnswered && context.view.isServing(context.now, entry.vm)
         && context.view.isAppliedEverywhere(context.now, entry.documentRevision))
         finish(context, entry);
@@ -115,7 +116,7 @@
     }
 }
 
-void recallDrains(WaveContext& context)
+void cancelDrainsOverBudget(WaveContext& context)
 {
     OutageTable outages(context.now, context.view, context.draft);
     const auto entries = context.draft.vms;
@@ -124,12 +125,12 @@
             continue;
         if (!outages.isOverBudget(entry))
             continue;
-        putBack(context, entry, WaveEventKind::PutBack);
+        cancelDrain(context, entry, WaveEventKind::DrainCancelled);
         outages.remove(entry);
     }
 }
 
-void settleWaves(WaveContext& context)
+void completeWaves(WaveContext& context)
 {
     for (auto& progress : context.draft.waves) {
         if (hasEntries(context.draft, progress.wave))
--- a/modules/fleet/maintenance/systems/AdvanceSystem.h
+++ b/modules/fleet/maintenance/systems/AdvanceSystem.h
@@ -4,14 +4,14 @@
 
 struct WaveContext;
 
-/// Takes each VM out of service one step further in the draft if what it waits for has happened, puts back those that
-/// would not drain in time, and drops those that the document no longer names.
+/// Advances each VM out of service by one step in the draft if the step's condition is met, cancels drains that timed
+/// out, and drops VMs that the document no longer lists.
 void advanceVms(WaveContext&);
 
-/// Puts draining VMs back into service where unplanned failures have pushed a service over its budget.
-void recallDrains(WaveContext&);
+/// Cancels drains where unplanned failures have pushed a service over its budget.
+void cancelDrainsOverBudget(WaveContext&);
 
-/// Ends the waves that have nothing left to do.
-void settleWaves(WaveContext&);
+/// Completes the waves that have no work left.
+void completeWaves(WaveContext&);
 
 } // namespace Greengage
--- a/modules/fleet/maintenance/systems/CommandSystem.cpp
+++ b/modules/fleet/maintenance/systems/CommandSystem.cpp
@@ -2,8 +2,8 @@
 #include <fleet/maintenance/ledger/MaintenanceLedger.h>
 #include <fleet/maintenance/messages/WaveCommanded.h>
 #include <fleet/maintenance/systems/CommandSystem.h>
+#include <fleet/maintenance/systems/DrainCancellation.h>
 #include <fleet/maintenance/systems/FleetView.h>
-#include <fleet/maintenance/systems/PutBack.h>
 #include <fleet/maintenance/systems/WaveContext.h>
 
 namespace Greengage {
@@ -72,7 +72,7 @@
     const auto entries = context.draft.vms;
     for (const auto& entry : entries) {
         if (entry.wave == progress.wave && entry.phase == MaintenancePhase::Draining)
-            putBack(context, entry, WaveEventKind::PutBack);
+            cancelDrain(context, entry, WaveEventKind::DrainCancelled);
     }
     return CommandOutcome::Accepted;
 }
--- a/modules/fleet/maintenance/systems/CommandSystem.h
+++ b/modules/fleet/maintenance/systems/CommandSystem.h
@@ -7,7 +7,7 @@
 struct WaveCommanded;
 struct WaveContext;
 
-/// Applies an operator's command to the draft of the ledger. Accepted means that the draft holds it.
+/// Applies an operator's command to the draft of the ledger. Accepted means that the draft contains the command.
 CommandOutcome applyCommand(WaveContext&, const WaveCommanded&);
 
 } // namespace Greengage
--- a/modules/fleet/maintenance/systems/PutBack.cpp
+++ b/modules/fleet/maintenance/systems/DrainCancellation.cpp
@@ -1,14 +1,14 @@
 #include <core/checks/Assertion.h>
 #include <fleet/maintenance/ledger/MaintenanceLedger.h>
-#include <fleet/maintenance/systems/PutBack.h>
+#include <fleet/maintenance/systems/DrainCancellation.h>
 #include <fleet/maintenance/systems/WaveContext.h>
 
 namespace Greengage {
 
-void putBack(WaveContext& context, const VmMaintenance& held, WaveEventKind kind)
+void cancelDrain(WaveContext& context, const VmMaintenance& draining, WaveEventKind kind)
 {
-    const auto entry = held;
-    assertInvariant(entry.phase == MaintenancePhase::Draining, "only a draining VM is put back");
+    const auto entry = draining;
+    assertInvariant(entry.phase == MaintenancePhase::Draining, "only the drain of a draining VM can be cancelled");
     if (auto* progress = context.draft.find(entry.wave)) {
         if (entry.isRollback)
             progress->done.push_back({ entry.vm, entry.to });
--- a/modules/fleet/maintenance/systems/DrainOrder.cpp
+++ b/modules/fleet/maintenance/systems/DrainOrder.cpp
@@ -10,14 +10,14 @@
 
 namespace {
 
-/// VMs of one service that are still to be maintained.
+/// The number of VMs of one service that still need maintenance.
 struct Backlog {
     double service = 0;
     std::map<ZoneId, double> byZone;
     std::map<RackId, double> byRack;
 };
 
-/// Rounds of work left under each bound.
+/// The rounds still needed under each bound.
 struct RoundsLeft {
     double service = 0;
     double zone = 0;
--- a/modules/fleet/maintenance/systems/DrainOrder.h
+++ b/modules/fleet/maintenance/systems/DrainOrder.h
@@ -10,8 +10,8 @@
 
 class FleetView;
 
-/// Sorts candidates so that those come first whose service, then zone, then rack has most rounds of work left under its
-/// budget: these set how long the whole wave takes. Equal ones keep the order of their names.
+/// Sorts candidates so that those come first whose service, then zone, then rack needs the most further rounds under
+/// its budget: these determine how long the whole wave takes. Ties are ordered by VM name.
 void sortByRoundsLeft(const FleetView&, std::vector<VmMaintenance>& candidates);
 
 } // namespace Greengage
--- a/modules/fleet/maintenance/systems/DrainSystem.cpp
+++ b/modules/fleet/maintenance/systems/DrainSystem.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-/// Drops VMs that the document no longer names, and those that somebody else has already moved.
-void dropUnneeded(WaveContext& context, WaveProgress& progress, const Wave* wave)
+/// Drops VMs that the document no longer lists, and those that were already moved by other means.
+void dropObsoleteVms(WaveContext& context, WaveProgress& progress, const Wave* wave)
 {
     std::erase_if(progress.remaining, [&](const VmId& vm) {
         const auto* pool = context.view.poolOf(vm);
@@ -46,7 +46,7 @@
     return entry;
 }
 
-/// VMs of the wave that could be taken now as far as they themselves are concerned.
+/// The VMs of the wave that are ready to be taken out of service, before budgets are checked.
 std::vector<VmMaintenance> findCandidates(const WaveContext& context, const WaveProgress& progress, const Wave* wave)
 {
     std::vector<VmMaintenance> candidates;
@@ -67,7 +67,7 @@
     return candidates;
 }
 
-int countOfWave(const MaintenanceLedger& ledger, const WaveId& wave)
+int countVmsOfWave(const MaintenanceLedger& ledger, const WaveId& wave)
 {
     auto isOfWave = [&](const VmMaintenance& entry) { return entry.wave == wave; };
     return static_cast<int>(std::count_if(ledger.vms.begin(), ledger.vms.end(), isOfWave));
@@ -78,11 +78,11 @@
     const auto* wave = context.view.wave(progress.wave);
     auto candidates = findCandidates(context, progress, wave);
     sortByRoundsLeft(context.view, candidates);
-    int underWay = countOfWave(context.draft, progress.wave);
-    const int maxUnderWay = wave ? wave->maxConcurrent : 1;
+    int outOfServiceCount = countVmsOfWave(context.draft, progress.wave);
+    const int maxOutOfService = wave ? wave->maxConcurrent : 1;
     std::unordered_set<VmId> taken;
     for (const auto& entry : candidates) {
-        if (underWay >= maxUnderWay)
+        if (outOfServiceCount >= maxOutOfService)
             break;
         if (!outages.allows(entry))
             continue;
@@ -90,7 +90,7 @@
         context.draft.vms.push_back(entry);
         context.report(WaveEventKind::DrainStarted, entry.vm, entry.wave);
         taken.insert(entry.vm);
-        underWay++;
+        outOfServiceCount++;
     }
     std::erase_if(progress.remaining, [&](const VmId& vm) { return taken.count(vm) != 0; });
     std::erase_if(progress.done, [&](const MovedVm& moved) { return taken.count(moved.vm) != 0; });
@@ -104,7 +104,7 @@
     for (auto& progress : context.draft.waves) {
         if (progress.state != WaveState::Running && progress.state != WaveState::RollingBack)
             continue;
-        dropUnneeded(context, progress, context.view.wave(progress.wave));
+        dropObsoleteVms(context, progress, context.view.wave(progress.wave));
         startDrainsOf(context, progress, outages);
     }
 }
--- a/modules/fleet/maintenance/systems/DrainSystem.h
+++ b/modules/fleet/maintenance/systems/DrainSystem.h
@@ -4,7 +4,7 @@
 
 struct WaveContext;
 
-/// Takes further VMs of the running waves, and of those being rolled back, out of service as far as every budget lets.
+/// Starts drains of further VMs in the running waves, and in those being rolled back, as far as every budget allows.
 void startDrains(WaveContext&);
 
 } // namespace Greengage
--- a/modules/fleet/maintenance/systems/FleetView.cpp
+++ b/modules/fleet/maintenance/systems/FleetView.cpp
@@ -13,13 +13,13 @@
 
 namespace {
 
-/// How long an answer of a VM shows that it serves.
-constexpr Seconds vmSightingLifetime(4);
-/// How long a peer's state may be relied on.
+/// How long an answer of a VM counts as evidence that it is serving.
+constexpr Seconds vmObservationLifetime(4);
+/// How long a peer's state remains valid.
 constexpr Seconds peerStateLifetime(3);
-/// How long a read of the platform's list or of the membership may be relied on.
+/// How long a read of the platform's list or of the membership remains valid.
 constexpr Seconds listLifetime(15);
-/// How long a daemon that is no longer listed may still act on what it knew.
+/// How long a daemon that is no longer listed may still act on its last known state.
 constexpr Seconds departedMemberLifetime(15);
 
 bool isWithin(Instant now, Instant then, Microseconds lifetime)
@@ -66,52 +66,52 @@
     this->records.clear();
     for (const auto& record : listed.vms)
         this->records[record.id] = record;
-    std::erase_if(this->sightings, [&](const auto& entry) { return this->records.count(entry.first) == 0; });
+    std::erase_if(this->observations, [&](const auto& entry) { return this->records.count(entry.first) == 0; });
 }
 
 void FleetView::apply(Instant now, const MembersListed& listed)
 {
     this->membersAt = now;
     for (const auto& member : listed.members) {
-        auto& sighting = this->members[member.incarnation];
-        sighting.zone = member.zone;
-        sighting.listedAt = now;
+        auto& observation = this->members[member.incarnation];
+        observation.zone = member.zone;
+        observation.listedAt = now;
     }
 }
 
-void FleetView::apply(Instant, const PeerHeard& heard)
+void FleetView::apply(Instant, const PeerHeard& peer)
 {
-    auto& sighting = this->members[heard.state.incarnation];
-    if (heard.askedAt < sighting.heardAt)
+    auto& observation = this->members[peer.state.incarnation];
+    if (peer.askedAt < observation.stateAskedAt)
         return;
-    sighting.zone = heard.state.zone;
-    sighting.heardAt = heard.askedAt;
-    sighting.state = heard.state;
+    observation.zone = peer.state.zone;
+    observation.stateAskedAt = peer.askedAt;
+    observation.state = peer.state;
 }
 
 void FleetView::apply(Instant, const RunningReported& reported)
 {
-    auto& sighting = this->sightings[reported.endpoint];
-    if (reported.askedAt < sighting.askedAt)
+    auto& observation = this->observations[reported.endpoint];
+    if (reported.askedAt < observation.askedAt)
         return;
-    sighting = { reported.askedAt, reported.running.empty() };
+    observation = { reported.askedAt, reported.running.empty() };
 }
 
 void FleetView::refresh(Instant now)
 {
     std::erase_if(this->members, [&](const auto& entry) {
         return !isWithin(now, entry.second.listedAt, departedMemberLifetime)
-            && !isWithin(now, entry.second.heardAt, departedMemberLifetime);
+            && !isWithin(now, entry.second.stateAskedAt, departedMemberLifetime);
     });
-    std::set<ZoneId> heard;
-    this->zonesAtRisk.clear();
+    std::set<ZoneId> reachableZones;
+    this->unreachableZones.clear();
     for (const auto& [incarnation, member] : this->members) {
-        this->zonesAtRisk.insert(member.zone);
-        if (isWithin(now, member.heardAt, peerStateLifetime))
-            heard.insert(member.zone);
+        this->unreachableZones.insert(member.zone);
+        if (isWithin(now, member.stateAskedAt, peerStateLifetime))
+            reachableZones.insert(member.zone);
     }
-    for (const auto& zone : heard)
-        this->zonesAtRisk.erase(zone);
+    for (const auto& zone : reachableZones)
+        this->unreachableZones.erase(zone);
 }
 
 const Pool* FleetView::poolOf(const VmId& vm) const { return findValue(this->pools, vm); }
@@ -142,13 +142,13 @@
     const auto* record = this->record(vm);
     if (!record || record->state != VmState::Live || !this->isListFresh(now))
         return false;
-    if (this->zonesAtRisk.count(record->zone) != 0)
+    if (this->unreachableZones.count(record->zone) != 0)
         return false;
-    const auto* sighting = this->sighting(vm);
-    return sighting && isWithin(now, sighting->askedAt, vmSightingLifetime);
+    const auto* observation = this->observation(vm);
+    return observation && isWithin(now, observation->askedAt, vmObservationLifetime);
 }
 
-const VmSighting* FleetView::sighting(const VmId& vm) const { return findEntry(this->sightings, vm); }
+const VmObservation* FleetView::observation(const VmId& vm) const { return findEntry(this->observations, vm); }
 
 bool FleetView::isMembershipFresh(Instant now) const { return isWithin(now, this->membersAt, listLifetime); }
 
@@ -169,13 +169,13 @@
     if (!this->isMembershipFresh(now) || this->members.empty())
         return false;
     for (const auto& [incarnation, member] : this->members) {
-        if (!isWithin(now, member.heardAt, peerStateLifetime) || !accepts(member.state))
+        if (!isWithin(now, member.stateAskedAt, peerStateLifetime) || !accepts(member.state))
             return false;
     }
     return true;
 }
 
-bool FleetView::isCutOffFromWork(Instant now, const VmMaintenance& entry) const
+bool FleetView::isUnusedByEveryDaemon(Instant now, const VmMaintenance& entry) const
 {
     return this->everyMember(now, [&](const PeerState& state) {
         const auto& busy = state.busyDrainingVms;
--- a/modules/fleet/maintenance/systems/FleetView.h
+++ b/modules/fleet/maintenance/systems/FleetView.h
@@ -2,8 +2,8 @@
 
 #include <core/text/Identifier.h>
 #include <core/time/Instant.h>
-#include <fleet/maintenance/systems/MemberSighting.h>
-#include <fleet/maintenance/systems/VmSighting.h>
+#include <fleet/maintenance/systems/MemberObservation.h>
+#include <fleet/maintenance/systems/VmObservation.h>
 #include <store/vms/VmRecord.h>
 
 #include <cstdint>
@@ -25,8 +25,8 @@
 struct VmMaintenance;
 struct Wave;
 
-/// What one daemon knows of the fleet, read pessimistically: whatever has not been heard of lately counts as out of
-/// service or as not yet told.
+/// One daemon's view of the fleet, interpreted conservatively: a VM without a recent observation counts as out of
+/// service, and a daemon without one as not yet up to date.
 class FleetView {
 public:
     void apply(Instant now, const DocumentApplied&);
@@ -35,34 +35,35 @@
     void apply(Instant now, const PeerHeard&);
     void apply(Instant now, const RunningReported&);
 
-    /// Forgets daemons that left long ago and finds the zones at risk. Call it once a tick, after the inputs.
+    /// Removes daemons that left long ago and determines the unreachable zones. Call it once per tick, after the
+    /// inputs.
     void refresh(Instant now);
 
-    /// The newest document, or null before the first.
+    /// The newest document, or null before the first one.
     const Document* document() const { return this->currentDocument.get(); }
     Instant documentAppliedAt() const { return this->documentAt; }
 
-    /// The pool that the document has the VM in, or null.
+    /// The pool in which the document lists the VM, or null.
     const Pool* poolOf(const VmId&) const;
     const Pool* pool(const PoolId&) const;
     const Wave* wave(const WaveId&) const;
     /// The service that the pool's VMs are endpoints of, or null.
     const Service* serviceOf(const PoolId&) const;
-    /// The VM's line in the platform's list, or null.
+    /// The VM's entry in the platform's list, or null.
     const VmRecord* record(const VmId&) const;
-    /// Whether the platform's list was read lately enough to be believed.
+    /// Whether the platform's list was read recently enough to be valid.
     bool isListFresh(Instant now) const;
 
-    /// Whether the VM is listed as live, has answered lately and stands in a zone that is not at risk.
+    /// Whether the VM is listed as live, has answered recently and its zone is not unreachable.
     bool isServing(Instant now, const VmId&) const;
-    /// What the VM last told, or null.
-    const VmSighting* sighting(const VmId&) const;
+    /// The last observation of the VM, or null.
+    const VmObservation* observation(const VmId&) const;
 
     /// Whether the membership is known and this incarnation is the smallest in it.
     bool isFirstMember(Instant now, const IncarnationId&) const;
-    /// Whether every daemon has said lately that it sends the VM nothing new and has nothing under way to it.
-    bool isCutOffFromWork(Instant now, const VmMaintenance&) const;
-    /// Whether every daemon has said lately that it has applied the document's revision.
+    /// Whether every daemon has recently reported that it sends the VM no new work and has none in progress there.
+    bool isUnusedByEveryDaemon(Instant now, const VmMaintenance&) const;
+    /// Whether every daemon has recently reported that it has applied the document's revision.
     bool isAppliedEverywhere(Instant now, std::uint64_t documentRevision) const;
 
 private:
@@ -77,9 +78,10 @@
     std::unordered_map<PoolId, const Pool*> poolsByName;
     std::unordered_map<ServiceId, const Service*> services;
     std::unordered_map<VmId, VmRecord> records;
-    std::unordered_map<VmId, VmSighting> sightings;
-    std::unordered_map<IncarnationId, MemberSighting> members;
-    std::set<ZoneId> zonesAtRisk;
+    std::unordered_map<VmId, VmObservation> observations;
+    std::unordered_map<IncarnationId, MemberObservation> members;
+    /// Zones with members of which none has reported its state recently.
+    std::set<ZoneId> unreachableZones;
 };
 
 } // namespace Greengage
--- a/modules/fleet/maintenance/systems/LedgerReplica.cpp
+++ b/modules/fleet/maintenance/systems/LedgerReplica.cpp
@@ -11,13 +11,13 @@
 
 Result<std::vector<WaveEvent>, LedgerError> LedgerReplica::apply(Instant now, const LedgerRead& read)
 {
-    this->isReadUnderWay = false;
+    this->isReadInFlight = false;
     if (read.version < this->version)
         return std::vector<WaveEvent> {};
     auto decoded = MaintenanceLedger::decode(read.value);
     if (!decoded) {
         this->isKnown = false;
-        this->readAgainAt = now + readRetryInterval;
+        this->nextReadAt = now + readRetryInterval;
         return decoded.error();
     }
     this->newest = std::move(decoded.value());
@@ -31,25 +31,25 @@
     return events;
 }
 
-void LedgerReplica::noteWriteFailed()
+void LedgerReplica::recordWriteFailure()
 {
     this->isKnown = false;
     if (this->write)
-        this->write->isUnderWay = false;
+        this->write->isInFlight = false;
 }
 
-void LedgerReplica::noteReadFailed(Instant now)
+void LedgerReplica::recordReadFailure(Instant now)
 {
-    this->isReadUnderWay = false;
-    this->readAgainAt = now + readRetryInterval;
+    this->isReadInFlight = false;
+    this->nextReadAt = now + readRetryInterval;
 }
 
-bool LedgerReplica::takeReadRequest(Instant now, Instant neededSince)
+bool LedgerReplica::beginReadIfNeeded(Instant now, Instant neededSince)
 {
     const bool isNeeded = !this->isKnown || this->confirmed < neededSince;
-    if (!isNeeded || this->isReadUnderWay || now < this->readAgainAt)
+    if (!isNeeded || this->isReadInFlight || now < this->nextReadAt)
         return false;
-    this->isReadUnderWay = true;
+    this->isReadInFlight = true;
     return true;
 }
 
--- a/modules/fleet/maintenance/systems/LedgerWrite.h
+++ b/modules/fleet/maintenance/systems/LedgerWrite.h
@@ -13,8 +13,8 @@
     std::uint64_t expectedVersion = 0;
     std::string value;
     std::vector<WaveEvent> events;
-    /// Whether its answer is still to come.
-    bool isUnderWay = true;
+    /// Whether its answer is still pending.
+    bool isInFlight = true;
 };
 
 } // namespace Greengage
--- a/modules/fleet/maintenance/systems/MemberSighting.h
+++ b/modules/fleet/maintenance/systems/MemberObservation.h
@@ -5,13 +5,13 @@
 
 namespace Greengage {
 
-/// What is known of one daemon.
-struct MemberSighting {
+/// The last observation of one daemon.
+struct MemberObservation {
     ZoneId zone;
     /// When the membership last listed it.
     Instant listedAt = Instant::min();
-    /// When the exchange that brought `state` began.
-    Instant heardAt = Instant::min();
+    /// When the exchange that returned `state` was started.
+    Instant stateAskedAt = Instant::min();
     PeerState state;
 };
 
--- a/modules/fleet/maintenance/systems/OutageTable.cpp
+++ b/modules/fleet/maintenance/systems/OutageTable.cpp
@@ -30,7 +30,7 @@
             continue;
         for (const auto& vm : pool.vms) {
             if (planned.count(vm) == 0 && !view.isServing(now, vm))
-                this->outages[pool.service].out += 1;
+                this->outages[pool.service].outOfService += 1;
         }
     }
 }
@@ -50,7 +50,7 @@
 {
     for (const auto* service : this->servicesOf(entry)) {
         auto& outage = this->outages[service->name];
-        outage.out += change;
+        outage.outOfService += change;
         outage.plannedByRack[entry.rack] += change;
         outage.plannedByZone[entry.zone] += change;
     }
@@ -66,7 +66,7 @@
         auto found = this->outages.find(service->name);
         static const ServiceOutage none;
         const auto& outage = found == this->outages.end() ? none : found->second;
-        if (outage.out >= service->maxUnavailable)
+        if (outage.outOfService >= service->maxUnavailable)
             return false;
         if (countOf(outage.plannedByRack, entry.rack) >= service->maxUnavailablePerRack)
             return false;
@@ -80,7 +80,7 @@
 {
     for (const auto* service : this->servicesOf(entry)) {
         auto found = this->outages.find(service->name);
-        if (found != this->outages.end() && found->second.out > service->maxUnavailable)
+        if (found != this->outages.end() && found->second.outOfService > service->maxUnavailable)
             return true;
     }
     return false;
--- a/modules/fleet/maintenance/systems/OutageTable.h
+++ b/modules/fleet/maintenance/systems/OutageTable.h
@@ -14,20 +14,20 @@
 struct Service;
 struct VmMaintenance;
 
-/// Counts the VMs that are out of service against the services' budgets. A VM that is to move counts for the service of
-/// its old pool and for that of its new one.
+/// Counts the VMs out of service against the services' budgets. A VM that is being moved counts for the service of its
+/// old pool and for that of its new one.
 class OutageTable {
 public:
-    /// Counts what the ledger holds out of service and every other VM that is not seen serving.
+    /// Counts the VMs that the ledger keeps out of service and every other VM that is not known to be serving.
     OutageTable(Instant now, const FleetView&, const MaintenanceLedger&);
 
-    /// Whether the budgets of the services and their rack and zone bounds let one more VM be taken out of service.
+    /// Whether the budgets of the services and their rack and zone bounds allow one more VM out of service.
     bool allows(const VmMaintenance&) const;
-    /// Counts a VM as taken out by plan; it was serving.
+    /// Counts a serving VM as taken out of service by plan.
     void add(const VmMaintenance&);
-    /// Counts a VM as put back into service.
+    /// Counts a VM as returned to service.
     void remove(const VmMaintenance&);
-    /// Whether more VMs are out than one of the services that the VM counts for may have out.
+    /// Whether one of the services that the VM counts for has more VMs out of service than its budget allows.
     bool isOverBudget(const VmMaintenance&) const;
 
 private:
--- a/modules/fleet/maintenance/systems/PendingCommand.h
+++ b/modules/fleet/maintenance/systems/PendingCommand.h
@@ -4,10 +4,10 @@
 
 namespace Greengage {
 
-/// An operator's command that is not settled yet.
+/// An operator's command that has not been answered yet.
 struct PendingCommand {
     WaveCommanded command;
-    /// Whether a write that holds it may have taken effect.
+    /// Whether a write that contains it may have taken effect.
     bool mayHaveTakenEffect = false;
 };
 
--- a/modules/fleet/maintenance/systems/ServiceOutage.h
+++ b/modules/fleet/maintenance/systems/ServiceOutage.h
@@ -6,10 +6,10 @@
 
 namespace Greengage {
 
-/// How many VMs of one service are out of service.
+/// The number of VMs of one service that are out of service.
 struct ServiceOutage {
-    /// Planned and unplanned together.
-    int out = 0;
+    /// Planned and unplanned outages together.
+    int outOfService = 0;
     std::map<RackId, int> plannedByRack;
     std::map<ZoneId, int> plannedByZone;
 };
--- a/modules/fleet/maintenance/systems/VmSighting.h
+++ b/modules/fleet/maintenance/systems/VmObservation.h
@@ -4,11 +4,11 @@
 
 namespace Greengage {
 
-/// What a VM last told of itself.
-struct VmSighting {
-    /// When the question was sent.
+/// What a VM reported about itself in its last answer.
+struct VmObservation {
+    /// When the poll was sent.
     Instant askedAt = Instant::min();
-    /// Whether nothing was running on it.
+    /// Whether no work was running on it.
     bool isIdle = false;
 };
 
--- a/modules/fleet/maintenance/systems/WaveContext.h
+++ b/modules/fleet/maintenance/systems/WaveContext.h
@@ -12,14 +12,14 @@
 class FleetView;
 struct MaintenanceLedger;
 
-/// The tables that the systems of maintenance run over in one tick.
+/// The tables on which the maintenance systems run in one tick.
 struct WaveContext {
     Instant now;
     const FleetView& view;
-    /// The ledger as it is to be written.
+    /// The ledger as it will be written.
     MaintenanceLedger& draft;
     const std::unordered_map<VmId, VmWatch>& watches;
-    /// What the write will have done.
+    /// The events to emit once the write has succeeded.
     std::vector<WaveEvent>& events;
 
     void report(WaveEventKind kind, const VmId& vm, const WaveId& wave) { this->events.push_back({ kind, vm, wave }); }
--- a/modules/fleet/tests/maintenance/FakeDaemon.h
+++ b/modules/fleet/tests/maintenance/FakeDaemon.h
@@ -10,7 +10,8 @@
 
 namespace Greengage {
 
-/// A daemon around one plane: applies the ledger and the document late, sends work, and can be frozen or killed.
+/// A daemon that runs one plane, applies the ledger and the document with a delay, sends work, and can be frozen or
+/// killed.
 struct FakeDaemon {
     std::string name;
     ZoneId zone;
@@ -21,7 +22,7 @@
     std::set<VmId> draining;
     std::vector<MaintenanceInput> inbox;
     Instant frozenUntil = Instant::min();
-    Instant storeHeardAt = Instant::min();
+    Instant storeConfirmedAt = Instant::min();
     Instant leaseUntil = Instant::min();
     IncarnationId id() const { return IncarnationId(this->name + "." + std::to_string(this->incarnation)); }
 };
--- a/modules/fleet/tests/maintenance/FakeDelivery.h
+++ b/modules/fleet/tests/maintenance/FakeDelivery.h
@@ -5,7 +5,7 @@
 
 namespace Greengage {
 
-/// A message under way.
+/// A message in transit.
 struct FakeDelivery {
     Instant at;
     std::size_t daemon = 0;
--- a/modules/fleet/tests/maintenance/FakeFleet.cpp
+++ b/modules/fleet/tests/maintenance/FakeFleet.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-constexpr Milliseconds stepSpan(100);
+constexpr Milliseconds stepDuration(100);
 constexpr std::size_t zoneCount = 3;
 constexpr int listLagSteps = 20;
-/// A daemon that has confirmed neither the document nor the ledger for so long sends nothing.
+/// A daemon that has confirmed neither the document nor the ledger for this long sends no work.
 constexpr Seconds freshnessBound(5);
 constexpr Seconds memberLease(10);
 
@@ -79,7 +79,7 @@
 
 int FakeFleet::pick(int low, int high) { return std::uniform_int_distribution<>(low, high)(this->random); }
 
-void FakeFleet::command(WaveVerb verb)
+void FakeFleet::submitCommand(WaveVerb verb)
 {
     auto id = "command-" + std::to_string(++this->commandCount);
     auto daemon = static_cast<std::size_t>(this->pick(0, static_cast<int>(zoneCount) - 1));
@@ -93,9 +93,9 @@
         this->step();
 }
 
-void FakeFleet::calm()
+void FakeFleet::stopFailures()
 {
-    this->isCalm = true;
+    this->failuresStopped = true;
     this->cutUntil.clear();
     this->storeOutUntil = Instant::min();
     for (auto& [id, vm] : this->vms)
@@ -125,7 +125,7 @@
     daemon.document.reset();
     daemon.ledgerRevision = 0;
     daemon.draining.clear();
-    daemon.storeHeardAt = Instant::min();
+    daemon.storeConfirmedAt = Instant::min();
 }
 
 bool FakeFleet::isCut(const ZoneId& from, const ZoneId& to) const
@@ -139,7 +139,7 @@
 
 void FakeFleet::step()
 {
-    this->now += stepSpan;
+    this->now += stepDuration;
     this->injectFailures();
     this->tickPlatform();
     this->tickStore();
@@ -158,7 +158,7 @@
 
 void FakeFleet::injectFailures()
 {
-    if (this->isCalm || !this->schedule.hasFailures)
+    if (this->failuresStopped || !this->schedule.hasFailures)
         return;
     if (this->chance(0.004)) {
         auto vm = std::next(this->vms.begin(), this->pick(0, static_cast<int>(this->vms.size()) - 1));
@@ -198,10 +198,10 @@
     std::vector<FakeWrite> arrived(due, this->writes.end());
     this->writes.erase(due, this->writes.end());
     for (const auto& write : arrived)
-        this->take(write);
+        this->applyWrite(write);
 }
 
-void FakeFleet::take(const FakeWrite& write)
+void FakeFleet::applyWrite(const FakeWrite& write)
 {
     auto answer = [&](MaintenanceInput input) {
         if (!write.answerIsLost && this->daemons[write.daemon].incarnation == write.incarnation)
@@ -233,7 +233,7 @@
     if (reachesStore && this->chance(0.5)) {
         daemon.leaseUntil = this->now + memberLease;
         if (this->chance(0.3)) {
-            daemon.storeHeardAt = this->now;
+            daemon.storeConfirmedAt = this->now;
             daemon.document = this->newestDocument;
             daemon.inbox.emplace_back(DocumentApplied { daemon.document });
             daemon.inbox.emplace_back(LedgerRead { this->now, this->ledgerVersion, this->ledgerValue });
@@ -248,7 +248,7 @@
         if (this->listHistory.size() > lag)
             daemon.inbox.emplace_back(EndpointsListed { this->listHistory[this->listHistory.size() - lag], {}, 0 });
     }
-    this->exchange(index);
+    this->exchangePeerStates(index);
     auto outputs = daemon.plane->tick(this->now, std::move(daemon.inbox));
     daemon.inbox.clear();
     daemon.ledgerRevision = daemon.plane->ledger().revision;
@@ -260,7 +260,7 @@
 
 void FakeFleet::sendWork(FakeDaemon& daemon)
 {
-    if (!daemon.document || this->now - freshnessBound > daemon.storeHeardAt)
+    if (!daemon.document || this->now - freshnessBound > daemon.storeConfirmedAt)
         return;
     for (const auto& pool : daemon.document->pools) {
         for (const auto& id : pool.vms) {
@@ -268,14 +268,15 @@
             if (daemon.draining.count(id) != 0 || this->isCut(daemon.zone, vm.record.zone) || !this->chance(0.05))
                 continue;
             if (this->poolOf(id)->name != pool.name)
-                this->violate("work of " + pool.name.string() + " sent to " + id.string() + ", which has left it");
+                this->reportViolation(
+                    "work of " + pool.name.string() + " sent to " + id.string() + ", which is no longer in the pool");
             if (!vm.isDown(this->now) && vm.work.size() < 8)
                 vm.work.push_back(this->now + Milliseconds(this->pick(100, 6000)));
         }
     }
 }
 
-void FakeFleet::exchange(std::size_t index)
+void FakeFleet::exchangePeerStates(std::size_t index)
 {
     auto& daemon = this->daemons[index];
     PeerState state;
@@ -309,7 +310,7 @@
         this->deliver(index, Milliseconds(500), LedgerWriteFailed {});
         return;
     }
-    const bool isLost = this->schedule.losesAnswers && !this->isCalm && this->chance(0.1);
+    const bool isLost = this->schedule.losesAnswers && !this->failuresStopped && this->chance(0.1);
     auto delay = Milliseconds(isLost ? this->pick(0, 3000) : this->pick(0, 200));
     this->writes.push_back({ this->now + delay, this->now, index, this->daemons[index].incarnation, update, isLost });
     if (isLost)
@@ -325,10 +326,10 @@
         vm.operation = reboot.operation;
         vm.reboots++;
         if (!vm.work.empty())
-            this->violate("reboot of " + reboot.vm.string() + " cuts work");
+            this->reportViolation("reboot of " + reboot.vm.string() + " interrupts running work");
         const auto* entry = this->ledger.find(reboot.vm);
         if (!entry || entry->phase != MaintenancePhase::Rebooting)
-            this->violate("reboot of " + reboot.vm.string() + " is not in the ledger");
+            this->reportViolation("reboot of " + reboot.vm.string() + " is not in the ledger");
         vm.rebootingUntil = this->now + Seconds(this->pick(3, 15));
     }
     if (this->chance(0.9))
@@ -351,10 +352,10 @@
             pool.vms.push_back(move.vm);
     }
     if (!this->vms.at(move.vm).work.empty())
-        this->violate("move of " + move.vm.string() + " with work on it");
+        this->reportViolation("move of " + move.vm.string() + " while work runs on it");
     const auto* entry = this->ledger.find(move.vm);
     if (!entry || entry->phase != MaintenancePhase::Moving)
-        this->violate("move of " + move.vm.string() + " is not in the ledger");
+        this->reportViolation("move of " + move.vm.string() + " is not in the ledger");
     this->newestDocument = changed;
     this->checkDocument();
 }
--- a/modules/fleet/tests/maintenance/FakeFleet.h
+++ b/modules/fleet/tests/maintenance/FakeFleet.h
@@ -18,28 +18,28 @@
 
 namespace Greengage {
 
-/// Small fakes of the platform, the store and the daemons on a virtual clock, with failures drawn from a seed. It
-/// collects every broken promise as text.
+/// Fakes of the platform, the store and the daemons on a virtual clock, with failures drawn from a seed. Records each
+/// violated invariant as text.
 class FakeFleet {
 public:
     explicit FakeFleet(const Schedule&);
 
-    void command(WaveVerb);
+    void submitCommand(WaveVerb);
     /// Runs for the given virtual time.
     void run(Seconds);
-    /// Stops bringing about new failures and mends those under way.
-    void calm();
+    /// Stops injecting failures and ends those in progress.
+    void stopFailures();
 
     WaveState state() const;
     const MaintenanceLedger& stored() const { return this->ledger; }
     const Document& document() const { return *this->newestDocument; }
-    const std::vector<std::string>& broken() const { return this->violations; }
+    const std::vector<std::string>& foundViolations() const { return this->violations; }
     int rebootCount(const VmId& vm) const { return this->vms.at(vm).reboots; }
     bool isDone() const { return this->state() == WaveState::Done; }
     std::map<WaveEventKind, int> eventCounts;
     std::vector<CommandSettled> settled;
 
-    /// Holds work on a VM until the given instant.
+    /// Keeps work running on a VM for the given time.
     void occupy(const VmId&, Seconds);
     void failVm(const VmId&, Seconds);
     void cutZone(const ZoneId&, Seconds);
@@ -56,7 +56,7 @@
     void tickStore();
     void tickDaemon(std::size_t);
     void sendWork(FakeDaemon&);
-    void exchange(std::size_t);
+    void exchangePeerStates(std::size_t);
     void carryOut(std::size_t, const MaintenanceOutput&);
     void carryOut(std::size_t, const ReadLedger&);
     void carryOut(std::size_t, const UpdateLedger&);
@@ -72,15 +72,15 @@
     bool isStoreUp() const { return this->now >= this->storeOutUntil; }
     bool chance(double probability);
     int pick(int low, int high);
-    void take(const FakeWrite&);
+    void applyWrite(const FakeWrite&);
     void checkWrite(const MaintenanceLedger& before, const MaintenanceLedger& after);
     void checkDocument();
     const Pool* poolOf(const VmId&) const;
-    void violate(const std::string& what);
+    void reportViolation(const std::string& what);
 
     Schedule schedule;
     std::mt19937 random;
-    bool isCalm = false;
+    bool failuresStopped = false;
     Instant now { Seconds(1) };
     Instant storeOutUntil = Instant::min();
     std::map<ZoneId, Instant> cutUntil;
--- a/modules/fleet/tests/maintenance/FakeFleetChecks.cpp
+++ b/modules/fleet/tests/maintenance/FakeFleetChecks.cpp
@@ -6,12 +6,13 @@
 
 namespace {
 
-/// After this a failed VM must count as out: answers live 4 s, a write may take effect 3 s late.
+/// After this time a failed VM must count as out of service: answers are valid for 4 s, and a write may take effect 3 s
+/// late.
 constexpr Seconds detectionBound(8);
 
 } // namespace
 
-void FakeFleet::violate(const std::string& what)
+void FakeFleet::reportViolation(const std::string& what)
 {
     if (this->violations.size() < 5)
         this->violations.push_back("t=" + std::to_string(this->elapsed().count()) + "s " + what);
@@ -41,13 +42,13 @@
                 starting.insert(pool.service);
             const auto& record = this->vms.at(entry.vm).record;
             if (++places[{ pool.service, record.zone.string() }] > budget.maxUnavailablePerZone)
-                this->violate("too many VMs of " + pool.service.string() + " out in one zone");
+                this->reportViolation("too many VMs of " + pool.service.string() + " out of service in one zone");
             if (++places[{ pool.service, record.rack.string() }] > budget.maxUnavailablePerRack)
-                this->violate("too many VMs of " + pool.service.string() + " out in one rack");
+                this->reportViolation("too many VMs of " + pool.service.string() + " out of service in one rack");
         }
     }
     if (after.vms.size() > static_cast<std::size_t>(this->newestDocument->waves[0].maxConcurrent))
-        this->violate("wave has too many VMs out");
+        this->reportViolation("wave has too many VMs out of service");
     for (const auto& service : starting) {
         auto out = planned[service];
         for (const auto& [id, vm] : this->vms) {
@@ -56,7 +57,8 @@
                 out.insert(id);
         }
         if (out.size() > static_cast<std::size_t>(budget.maxUnavailable))
-            this->violate("drain started in " + service.string() + " with " + std::to_string(out.size()) + " out");
+            this->reportViolation(
+                "drain started in " + service.string() + " with " + std::to_string(out.size()) + " VMs out of service");
     }
 }
 
@@ -69,7 +71,7 @@
     }
     for (const auto& [id, vm] : this->vms) {
         if (counts[id] != 1)
-            this->violate(id.string() + " stands in " + std::to_string(counts[id]) + " pools");
+            this->reportViolation(id.string() + " is listed in " + std::to_string(counts[id]) + " pools");
     }
 }
 
--- a/modules/fleet/tests/maintenance/FakeVm.h
+++ b/modules/fleet/tests/maintenance/FakeVm.h
@@ -7,7 +7,7 @@
 
 namespace Greengage {
 
-/// A VM of the platform.
+/// A VM of the fake platform.
 struct FakeVm {
     VmRecord record;
     bool isUp = true;
--- a/modules/fleet/tests/maintenance/FakeWrite.h
+++ b/modules/fleet/tests/maintenance/FakeWrite.h
@@ -5,7 +5,7 @@
 
 namespace Greengage {
 
-/// A write that the store takes at a later instant, possibly after its sender has given up.
+/// A write that reaches the store at a later instant, possibly after its sender has given up.
 struct FakeWrite {
     Instant at;
     Instant sentAt;
--- a/modules/fleet/tests/maintenance/LedgerTests.cpp
+++ b/modules/fleet/tests/maintenance/LedgerTests.cpp
@@ -27,7 +27,7 @@
 
 BOOST_AUTO_TEST_SUITE(MaintenanceLedgerSuite)
 
-BOOST_AUTO_TEST_CASE(ledgerSurvivesItsCodec)
+BOOST_AUTO_TEST_CASE(anEncodedLedgerDecodesToTheSameValue)
 {
     auto text = sampleLedger().encode();
     auto decoded = MaintenanceLedger::decode(text);
--- a/modules/fleet/tests/maintenance/PlaneTests.cpp
+++ b/modules/fleet/tests/maintenance/PlaneTests.cpp
@@ -55,7 +55,8 @@
     return ledger.encode();
 }
 
-PeerHeard heard(const char* incarnation, std::uint64_t ledgerRevision, std::uint64_t documentRevision, Instant at)
+PeerHeard makePeerHeard(
+    const char* incarnation, std::uint64_t ledgerRevision, std::uint64_t documentRevision, Instant at)
 {
     PeerState state;
     state.incarnation = IncarnationId(incarnation);
@@ -65,15 +66,15 @@
     return { state, at };
 }
 
-/// One second of a driver d.0 that hears an idle vm-1, and a second daemon d.1 if `other` is given. Returns whether
-/// the ledger was to be written.
+/// Runs one tick of the driver d.0 with an idle report of vm-1, and a state of a second daemon d.1 if `other` is given.
+/// Returns whether the plane requested a ledger write.
 bool tickWrites(MaintenancePlane& plane, Instant at, const PeerHeard* other, bool isOtherListed)
 {
     VmRecord vm { VmId("vm-1"), "127.0.0.1", 1, ZoneId("z"), RackId("r"), VmState::Live };
     MembersListed members { { { IncarnationId("d.0"), ZoneId("z"), {} } } };
     if (isOtherListed)
         members.members.push_back({ IncarnationId("d.1"), ZoneId("z"), {} });
-    std::vector<MaintenanceInput> inputs { EndpointsListed { { vm }, {}, 5 }, members, heard("d.0", 5, 3, at),
+    std::vector<MaintenanceInput> inputs { EndpointsListed { { vm }, {}, 5 }, members, makePeerHeard("d.0", 5, 3, at),
         RunningReported { VmId("vm-1"), at, {} } };
     if (other)
         inputs.emplace_back(*other);
@@ -127,20 +128,20 @@
     plane.tick(start,
         { LedgerRead { start, 9, ledgerWith(MaintenancePhase::Joining, 3) }, DocumentApplied { documentWithVm() } });
     for (int second = 1; second < 10; second++) {
-        auto behind = heard("d.1", 5, 2, start + Seconds(second));
+        auto behind = makePeerHeard("d.1", 5, 2, start + Seconds(second));
         BOOST_TEST(!tickWrites(plane, start + Seconds(second), &behind, true));
     }
-    auto upToDate = heard("d.1", 5, 3, start + Seconds(10));
+    auto upToDate = makePeerHeard("d.1", 5, 3, start + Seconds(10));
     BOOST_TEST(tickWrites(plane, start + Seconds(10), &upToDate, true));
 }
 
-BOOST_AUTO_TEST_CASE(aDaemonThatFellSilentHoldsADrainUntilItsPermissionHasLapsed)
+BOOST_AUTO_TEST_CASE(anUnresponsiveDaemonBlocksADrainUntilItsPermissionHasExpired)
 {
     MaintenancePlane plane(IncarnationId("d.0"));
     plane.tick(start,
         { LedgerRead { start, 9, ledgerWith(MaintenancePhase::Draining, 0) }, DocumentApplied { documentWithVm() } });
-    auto lastWord = heard("d.1", 3, 3, start + Seconds(1));
-    BOOST_TEST(!tickWrites(plane, start + Seconds(1), &lastWord, true));
+    auto lastState = makePeerHeard("d.1", 3, 3, start + Seconds(1));
+    BOOST_TEST(!tickWrites(plane, start + Seconds(1), &lastState, true));
     for (int second = 2; second < 16; second++)
         BOOST_TEST(!tickWrites(plane, start + Seconds(second), nullptr, false), "at " << second);
     bool isWritten = false;
--- a/modules/fleet/tests/maintenance/Schedule.h
+++ b/modules/fleet/tests/maintenance/Schedule.h
@@ -4,12 +4,12 @@
 
 namespace Greengage {
 
-/// Which failures a schedule brings about.
+/// The failures to inject, and the settings of the wave.
 struct Schedule {
     unsigned seed = 1;
     WaveAction action = WaveAction::Reboot;
     bool hasFailures = true;
-    /// Loses store writes without their effect being undone.
+    /// Whether answers to store writes may be lost although the write takes effect.
     bool losesAnswers = true;
     int drainTimeoutSeconds = 40;
 };
