--- a/modules/fleet/placement/PlacementInput.h
+++ b/modules/fleet/placement/PlacementInput.h
@@ -10,7 +10,7 @@
 
 namespace Greengage {
 
-/// Everything that the placement plane can be told.
+/// Every input message of the placement plane.
 using PlacementInput = std::variant<DocumentApplied, WorkersListed, JobSubmitted, JobsCancelled, AttemptReported>;
 
 } // namespace Greengage
--- a/modules/fleet/placement/PlacementOutput.h
+++ b/modules/fleet/placement/PlacementOutput.h
@@ -5,13 +5,13 @@
 #include <fleet/placement/messages/StartTask.h>
 #include <fleet/placement/messages/StopTask.h>
 #include <fleet/placement/messages/ThrottleTask.h>
-#include <fleet/placement/messages/WorkerSetAside.h>
+#include <fleet/placement/messages/WorkerQuarantined.h>
 
 #include <variant>
 
 namespace Greengage {
 
-/// Everything that the placement plane can ask for.
-using PlacementOutput = std::variant<StartTask, StopTask, AskAttempt, ThrottleTask, JobEnded, WorkerSetAside>;
+/// Every output message of the placement plane.
+using PlacementOutput = std::variant<StartTask, StopTask, AskAttempt, ThrottleTask, JobEnded, WorkerQuarantined>;
 
 } // namespace Greengage
--- a/modules/fleet/placement/PlacementPlane.cpp
+++ b/modules/fleet/placement/PlacementPlane.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// How often all attempts and waiting jobs are looked through.
+/// How often all attempts and waiting jobs are reviewed.
 constexpr Seconds reviewInterval(1);
 
 } // namespace
@@ -36,8 +36,8 @@
     void runSystems()
     {
         const auto& profile = this->tables.profile;
-        if (this->tables.now >= this->reviewAgainAt) {
-            this->reviewAgainAt = this->tables.now + reviewInterval;
+        if (this->tables.now >= this->nextReviewAt) {
+            this->nextReviewAt = this->tables.now + reviewInterval;
             expireLeases(this->tables);
             probeWorkers(this->tables);
             refuseImpossibleJobs(this->tables);
@@ -80,7 +80,7 @@
         entry.job = job;
         entry.history = &this->tables.learner.historyOf(job);
         entry.arrival = this->tables.nextArrival++;
-        this->tables.queue(entry);
+        this->tables.enqueue(entry);
     }
 
     void apply(const JobsCancelled& cancelled)
@@ -92,7 +92,7 @@
     void apply(const AttemptReported& report) { applyReport(this->tables, report); }
 
     PlacementTables tables;
-    Instant reviewAgainAt = Instant::min();
+    Instant nextReviewAt = Instant::min();
     std::uint64_t documentRevision = 0;
 };
 
--- a/modules/fleet/placement/PlacementPlane.h
+++ b/modules/fleet/placement/PlacementPlane.h
@@ -10,16 +10,16 @@
 
 namespace Greengage {
 
-/// Places jobs on workers: learnt sizes, weighted fair shares with borrowing, upper limits, urgent work first, faulty
-/// workers set aside. It knows no socket, no clock and no log; the same inputs at the same instants give the same
-/// outputs.
+/// Places jobs on workers by learned sizes, weighted fair shares with borrowing, and upper limits; urgent work goes
+/// first and faulty workers are quarantined. The plane uses no socket, clock or log; the same inputs at the same
+/// instants give the same outputs.
 class PlacementPlane {
 public:
     explicit PlacementPlane(PlacementProfile);
     ~PlacementPlane();
 
-    /// Takes the inputs in order, runs every system once, and returns what is to be done. Call it soon after each
-    /// input and at the latest every 250 ms.
+    /// Applies the inputs in order, runs every system once and returns the actions to execute. Call it soon after each
+    /// input and at least every 250 ms.
     std::vector<PlacementOutput> tick(Instant now, std::vector<PlacementInput> inputs);
 
 private:
--- a/modules/fleet/placement/messages/AskAttempt.h
+++ b/modules/fleet/placement/messages/AskAttempt.h
@@ -6,8 +6,9 @@
 
 namespace Greengage {
 
-/// Ask a worker about an attempt whose lease has lapsed. It reports Running if it runs, repeats its last report if it
-/// has ended, answers FailedToStart if it never got it (and never starts it), and Stopped if it was of an earlier boot.
+/// Ask a worker about an attempt whose lease has expired. The worker reports Running if the attempt runs, repeats its
+/// last report if it has ended, answers FailedToStart if it never received the attempt (and never starts it), and
+/// Stopped if the attempt belongs to an earlier boot.
 struct AskAttempt {
     std::uint64_t attempt = 0;
     WorkerId worker;
--- a/modules/fleet/placement/messages/AttemptReported.h
+++ b/modules/fleet/placement/messages/AttemptReported.h
@@ -8,13 +8,13 @@
 
 namespace Greengage {
 
-/// A worker has reported on an attempt, which renews its lease. Reports lag and may come late.
+/// A worker reported on an attempt, which renews the attempt's lease. Reports may be delayed.
 struct AttemptReported {
     std::uint64_t attempt = 0;
     AttemptStatus status = AttemptStatus::Running;
-    /// The most it has used so far.
+    /// The attempt's peak usage so far.
     Resources peakUsage;
-    /// By our clock, an instant before which the report cannot have been made.
+    /// By the daemon's clock, an instant before which the report cannot have been made.
     Instant notBefore;
 };
 
--- a/modules/fleet/placement/messages/AttemptStatus.h
+++ b/modules/fleet/placement/messages/AttemptStatus.h
@@ -4,18 +4,18 @@
 
 namespace Greengage {
 
-/// What a worker says of one attempt.
+/// The status of an attempt as reported by its worker.
 enum class AttemptStatus {
     Running,
     Completed,
-    /// It could not be started; nothing of it has run.
+    /// It could not be started; no part of it has run.
     FailedToStart,
     Failed,
-    /// It needed more memory than it had reserved and was stopped.
+    /// It needed more memory than was reserved and was stopped.
     OutOfMemory,
-    /// It has stopped and can go on from its checkpoint.
+    /// It has stopped and can be resumed from its checkpoint.
     Checkpointed,
-    /// It has stopped because it was told to, or because its lease had lapsed.
+    /// It has stopped on request, or because its lease expired.
     Stopped,
 };
 
--- a/modules/fleet/placement/messages/JobEnded.h
+++ b/modules/fleet/placement/messages/JobEnded.h
@@ -7,11 +7,11 @@
 
 namespace Greengage {
 
-/// A job has ended; told once for each job.
+/// A job has ended; emitted once per job.
 struct JobEnded {
     JobId job;
     JobOutcome outcome = JobOutcome::Completed;
-    /// For people, such as "needs 40 processors, the largest worker has 32".
+    /// Explanation for an operator, such as "needs 40 processors, the largest worker has 32".
     std::string detail;
 };
 
--- a/modules/fleet/placement/messages/JobOutcome.h
+++ b/modules/fleet/placement/messages/JobOutcome.h
@@ -9,13 +9,13 @@
     Completed,
     Failed,
     Cancelled,
-    /// Its worker was lost. It may have run in part and may not be run again.
+    /// Its worker was lost. The job may have run in part and must not be run again.
     Lost,
-    /// No worker is large enough; nothing is running.
+    /// No worker is large enough; no attempt is running.
     NeverFits,
-    /// It could not be started on several workers; nothing is running.
+    /// It could not be started on several workers; no attempt is running.
     NeverStarts,
-    /// Its team is not in the document; nothing is running.
+    /// Its team is not in the document; no attempt is running.
     UnknownTeam,
 };
 
--- a/modules/fleet/placement/messages/JobSubmitted.h
+++ b/modules/fleet/placement/messages/JobSubmitted.h
@@ -4,7 +4,7 @@
 
 namespace Greengage {
 
-/// A team has submitted a job. Submitting the id of a job that waits or runs has no effect.
+/// A team submitted a job. Submitting the id of a job that waits or runs has no effect.
 struct JobSubmitted {
     Job job;
 };
--- a/modules/fleet/placement/messages/JobsCancelled.h
+++ b/modules/fleet/placement/messages/JobsCancelled.h
@@ -6,7 +6,7 @@
 
 namespace Greengage {
 
-/// Jobs are no longer wanted. Those that run are stopped gracefully.
+/// Jobs were cancelled. Those that run are stopped gracefully.
 struct JobsCancelled {
     std::vector<JobId> jobs;
 };
--- a/modules/fleet/placement/messages/StartTask.h
+++ b/modules/fleet/placement/messages/StartTask.h
@@ -8,12 +8,12 @@
 
 namespace Greengage {
 
-/// Tell a worker to start a job, or to go on from its checkpoint. The worker stops it when the lease has lapsed.
+/// Tell a worker to start a job, or to resume it from its checkpoint. The worker stops the job when the lease expires.
 struct StartTask {
     std::uint64_t attempt = 0;
     JobId job;
     WorkerId worker;
-    /// Boot of the worker that is meant; another one answers FailedToStart.
+    /// The boot of the worker that is addressed; any other boot answers FailedToStart.
     std::uint64_t workerBoot = 0;
     Resources reserved;
     Deadline lease;
--- a/modules/fleet/placement/messages/StopTask.h
+++ b/modules/fleet/placement/messages/StopTask.h
@@ -6,8 +6,8 @@
 
 namespace Greengage {
 
-/// Tell a worker to end an attempt gracefully. With `checkpoint` it saves its work first. For an attempt that it does
-/// not run it answers as to AskAttempt.
+/// Tell a worker to end an attempt gracefully. With `checkpoint` it saves the attempt's work first. For an attempt that
+/// it does not run, the worker answers as to AskAttempt.
 struct StopTask {
     std::uint64_t attempt = 0;
     WorkerId worker;
--- a/modules/fleet/placement/messages/ThrottleTask.h
+++ b/modules/fleet/placement/messages/ThrottleTask.h
@@ -6,7 +6,7 @@
 
 namespace Greengage {
 
-/// Tell a worker to hold an attempt to a number of processors.
+/// Tell a worker to limit an attempt to a number of processors.
 struct ThrottleTask {
     std::uint64_t attempt = 0;
     WorkerId worker;
--- a/modules/fleet/placement/messages/WorkerQuarantined.h
+++ b/modules/fleet/placement/messages/WorkerQuarantined.h
@@ -5,10 +5,10 @@
 
 namespace Greengage {
 
-/// A worker that fails what it starts gets nothing until it is probed.
-struct WorkerSetAside {
+/// A worker whose attempts keep failing was quarantined: it receives no work until it is probed.
+struct WorkerQuarantined {
     WorkerId worker;
-    Deadline probedAt;
+    Deadline probeAt;
 };
 
 } // namespace Greengage
--- a/modules/fleet/placement/messages/WorkersListed.h
+++ b/modules/fleet/placement/messages/WorkersListed.h
@@ -6,7 +6,7 @@
 
 namespace Greengage {
 
-/// The list of workers has been read. A worker that it no longer names gets nothing new and keeps what it holds.
+/// The list of workers was read. A worker that is no longer listed receives no new work and keeps its running attempts.
 struct WorkersListed {
     std::vector<WorkerRecord> workers;
 };
--- a/modules/fleet/placement/model/Attempt.h
+++ b/modules/fleet/placement/model/Attempt.h
@@ -9,7 +9,7 @@
 
 namespace Greengage {
 
-/// One attempt to run a job on a worker. It holds its reservation and counts against its team's upper limit until the
+/// One attempt to run a job on a worker. It keeps its reservation and counts against its team's upper limit until the
 /// worker has reported its end or has booted again.
 struct Attempt {
     std::uint64_t number = 0;
@@ -19,11 +19,11 @@
     std::uint64_t workerBoot = 0;
     AttemptPhase phase = AttemptPhase::Starting;
     Resources reserved;
-    /// The worker stops it by itself when it cannot renew the lease by then.
+    /// The worker stops the attempt by itself if it cannot renew the lease by then.
     Deadline lease;
     Instant startedAt = Instant::min();
-    /// Whether its end, asked for by us, returns the job to its queue.
-    bool isRequeued = false;
+    /// Whether the job returns to its queue when the attempt ends after a requested stop.
+    bool requeuesJob = false;
     bool isThrottled = false;
 };
 
--- a/modules/fleet/placement/model/AttemptPhase.h
+++ b/modules/fleet/placement/model/AttemptPhase.h
@@ -4,17 +4,17 @@
 
 namespace Greengage {
 
-/// Where one attempt to run a job stands.
+/// The phase of one attempt to run a job.
 enum class AttemptPhase {
-    /// Its space is being freed by checkpoints of others; nothing has been sent.
+    /// Other tasks are being checkpointed to free capacity for it; it has not been sent.
     Awaiting,
-    /// The worker has been told to start it.
+    /// The worker was told to start it.
     Starting,
     Running,
-    /// The worker has been told to checkpoint or stop it.
+    /// The worker was told to checkpoint or stop it.
     Ending,
-    /// Its lease has lapsed. It may be running still.
-    Lapsed,
+    /// Its lease has expired. It may still be running.
+    Expired,
 };
 
 template <> struct EnumNames<AttemptPhase> {
@@ -23,7 +23,7 @@
         { AttemptPhase::Starting, "starting" },
         { AttemptPhase::Running, "running" },
         { AttemptPhase::Ending, "ending" },
-        { AttemptPhase::Lapsed, "lapsed" },
+        { AttemptPhase::Expired, "lapsed" },
     } };
 };
 
--- a/modules/fleet/placement/model/Job.h
+++ b/modules/fleet/placement/model/Job.h
@@ -9,18 +9,19 @@
 
 namespace Greengage {
 
-/// A piece of work for one worker, with what its team declares of it. Declared sizes and times may be far off.
+/// A unit of work for one worker, with the size and time that its team declares. Declared values may be far from the
+/// actual ones.
 struct Job {
     JobId id;
     TeamId team;
-    /// Jobs of one team and kind are taken to be alike in how far their declarations are off.
+    /// Jobs of one team and kind are assumed to have similar ratios of actual to declared values.
     std::string kind;
     Priority priority = Priority::Normal;
     Resources declared;
     Seconds declaredRunTime { 60 };
-    /// Whether it may be started a second time while the first may still be running.
+    /// Whether it may be started again while an earlier attempt may still be running.
     bool idempotent = false;
-    /// Whether it can be stopped and go on later without losing its work.
+    /// Whether it can be stopped and resumed later without losing its work.
     bool canCheckpoint = true;
 };
 
--- a/modules/fleet/placement/model/Resources.h
+++ b/modules/fleet/placement/model/Resources.h
@@ -2,7 +2,7 @@
 
 namespace Greengage {
 
-/// An amount of what workers have and tasks need.
+/// An amount of the resources that workers provide and tasks need.
 struct Resources {
     double processors = 0;
     double memoryGigabytes = 0;
@@ -10,14 +10,14 @@
 
     bool operator==(const Resources&) const = default;
 
-    /// Whether this amount can be taken out of another. Sums of fractions may be off by a tiny amount.
+    /// Whether this amount does not exceed another. Tolerates the rounding errors of sums of fractions.
     bool fitsWithin(const Resources& other) const;
     Resources operator+(const Resources& other) const;
     Resources operator-(const Resources& other) const;
-    /// Each kind multiplied by its own factor.
+    /// Each kind of resource multiplied by its own factor.
     Resources scaledBy(const Resources& factors) const;
     Resources max(const Resources& other) const;
-    /// The largest of the shares that this amount has of another, over all kinds that the other has.
+    /// The largest of this amount's shares of the total, over all kinds of resource that the total contains.
     double dominantShareOf(const Resources& total) const;
 };
 
--- a/modules/fleet/placement/model/WorkerRecord.h
+++ b/modules/fleet/placement/model/WorkerRecord.h
@@ -7,15 +7,15 @@
 
 namespace Greengage {
 
-/// One worker as listed.
+/// One entry of the list of workers.
 struct WorkerRecord {
     WorkerId id;
     RackId rack;
     ZoneId zone;
     Resources capacity;
-    /// Grows with each boot. Work of an earlier boot has ended.
+    /// Increases with each boot. Attempts of an earlier boot have ended.
     std::uint64_t boot = 0;
-    /// Whether maintenance is taking it out of service: it gets nothing new and its tasks are checkpointed.
+    /// Whether maintenance is draining it: it receives no new work and its tasks are checkpointed.
     bool isDraining = false;
 };
 
--- a/modules/fleet/placement/systems/HealthSystem.cpp
+++ b/modules/fleet/placement/systems/HealthSystem.cpp
@@ -7,36 +7,36 @@
 
 namespace {
 
-constexpr std::size_t failuresBeforeSetAside = 3;
-constexpr Seconds firstTimeAside(30);
+constexpr std::size_t failuresBeforeQuarantine = 3;
+constexpr Seconds firstQuarantineTime(30);
 constexpr int maxBackoffDoublings = 4;
-/// One worker in so many may be set aside, and always at least one.
-constexpr std::size_t workersPerOneSetAside = 10;
+/// One worker per this many may be quarantined, and always at least one.
+constexpr std::size_t workersPerQuarantine = 10;
 
-bool isBudgetLeft(PlacementTables& tables)
+bool mayQuarantineAnother(PlacementTables& tables)
 {
     std::size_t listed = 0;
-    std::size_t aside = 0;
+    std::size_t quarantined = 0;
     for (const auto& [id, worker] : tables.workers.all()) {
         listed += worker.isListed ? 1 : 0;
-        aside += worker.health == WorkerHealth::Healthy ? 0 : 1;
+        quarantined += worker.health == WorkerHealth::Healthy ? 0 : 1;
     }
-    return aside < std::max<std::size_t>(1, listed / workersPerOneSetAside);
+    return quarantined < std::max<std::size_t>(1, listed / workersPerQuarantine);
 }
 
-void setAside(PlacementTables& tables, WorkerEntry& worker)
+void quarantine(PlacementTables& tables, WorkerEntry& worker)
 {
-    worker.health = WorkerHealth::SetAside;
-    auto doublings = std::min(worker.timesSetAside, maxBackoffDoublings);
-    worker.setAsideUntil = Deadline::after(tables.now, firstTimeAside * (1 << doublings));
-    worker.timesSetAside++;
+    worker.health = WorkerHealth::Quarantined;
+    auto doublings = std::min(worker.quarantineCount, maxBackoffDoublings);
+    worker.quarantinedUntil = Deadline::after(tables.now, firstQuarantineTime * (1 << doublings));
+    worker.quarantineCount++;
     tables.workers.reindex(worker);
-    tables.outputs.emplace_back(WorkerSetAside { worker.record.id, worker.setAsideUntil });
+    tables.outputs.emplace_back(WorkerQuarantined { worker.record.id, worker.quarantinedUntil });
 }
 
 } // namespace
 
-void noteWorkerFailure(PlacementTables& tables, const Attempt& attempt)
+void recordWorkerFailure(PlacementTables& tables, const Attempt& attempt)
 {
     auto* worker = tables.workers.find(attempt.worker);
     if (!worker || !tables.profile.setsAsideWorkers)
@@ -44,29 +44,29 @@
     worker->failedJobs.insert(attempt.job);
     const bool hasFailedProbe = worker->health == WorkerHealth::Probing;
     const bool hasFailedOften
-        = worker->health == WorkerHealth::Healthy && worker->failedJobs.size() >= failuresBeforeSetAside;
-    if (hasFailedProbe || (hasFailedOften && isBudgetLeft(tables)))
-        setAside(tables, *worker);
+        = worker->health == WorkerHealth::Healthy && worker->failedJobs.size() >= failuresBeforeQuarantine;
+    if (hasFailedProbe || (hasFailedOften && mayQuarantineAnother(tables)))
+        quarantine(tables, *worker);
 }
 
-void noteWorkerSuccess(PlacementTables& tables, const Attempt& attempt)
+void recordWorkerSuccess(PlacementTables& tables, const Attempt& attempt)
 {
     auto* worker = tables.workers.find(attempt.worker);
     if (!worker)
         return;
     worker->failedJobs.clear();
-    worker->hasDoneWell = true;
+    worker->hasSucceeded = true;
     if (worker->health == WorkerHealth::Healthy)
         return;
     worker->health = WorkerHealth::Healthy;
-    worker->timesSetAside = 0;
+    worker->quarantineCount = 0;
     tables.workers.reindex(*worker);
 }
 
 void probeWorkers(PlacementTables& tables)
 {
     for (auto& [id, worker] : tables.workers.all()) {
-        if (worker.health != WorkerHealth::SetAside || !worker.setAsideUntil.hasPassed(tables.now))
+        if (worker.health != WorkerHealth::Quarantined || !worker.quarantinedUntil.hasPassed(tables.now))
             continue;
         worker.health = WorkerHealth::Probing;
         tables.workers.reindex(worker);
--- a/modules/fleet/placement/systems/HealthSystem.h
+++ b/modules/fleet/placement/systems/HealthSystem.h
@@ -5,14 +5,14 @@
 struct Attempt;
 struct PlacementTables;
 
-/// Counts a failure against the attempt's worker, which is set aside after a few failures of different jobs, as long as
-/// the budget of workers set aside lasts.
-void noteWorkerFailure(PlacementTables&, const Attempt&);
+/// Counts a failure against the attempt's worker. The worker is quarantined after failures of several different jobs,
+/// as long as the limit of quarantined workers allows it.
+void recordWorkerFailure(PlacementTables&, const Attempt&);
 
-/// Clears the failures of the attempt's worker: it has done a job well.
-void noteWorkerSuccess(PlacementTables&, const Attempt&);
+/// Clears the failures of the attempt's worker after a success.
+void recordWorkerSuccess(PlacementTables&, const Attempt&);
 
-/// Lets workers be probed whose time aside is over.
+/// Makes workers available for a probe once their quarantine has expired.
 void probeWorkers(PlacementTables&);
 
 } // namespace Greengage
--- a/modules/fleet/placement/systems/JobEntry.h
+++ b/modules/fleet/placement/systems/JobEntry.h
@@ -14,16 +14,16 @@
 /// A job that has not ended.
 struct JobEntry {
     Job job;
-    /// What has been seen of jobs like it.
+    /// Observed sizes and run times of jobs of the same team and kind.
     KindHistory* history = nullptr;
-    /// Order of arrival; a job that is requeued keeps its place.
+    /// Order of arrival; a requeued job keeps its position.
     std::uint64_t arrival = 0;
     bool isWaiting = false;
     bool isCancelled = false;
     /// Attempts that may still be running.
     std::vector<std::uint64_t> attempts;
-    /// At least so much is reserved, after an attempt ran out of memory.
-    Resources leastSize;
+    /// The minimum to reserve, raised after an attempt ran out of memory.
+    Resources minimumSize;
     std::set<WorkerId> failedWorkers;
     int failures = 0;
 };
--- a/modules/fleet/placement/systems/JobPlacer.cpp
+++ b/modules/fleet/placement/systems/JobPlacer.cpp
@@ -5,9 +5,9 @@
 
 namespace Greengage {
 
-bool JobPlacer::mayBegin(const TeamEntry& team, const Resources& size) const
+bool JobPlacer::mayStart(const TeamEntry& team, const Resources& size) const
 {
-    if (team.sent >= team.team.limit || team.live.size() >= static_cast<std::size_t>(team.team.limit))
+    if (team.sentCount >= team.team.limit || team.live.size() >= static_cast<std::size_t>(team.team.limit))
         return false;
     const auto& teams = this->tables.teams;
     if (teams.usageWith(team, size) <= teams.shareOf(team))
@@ -26,20 +26,20 @@
 {
     const auto size = this->tables.sizeOf(entry);
     auto failedBefore = [&](const Resources& failed) { return failed.fitsWithin(size); };
-    const bool isPlain = entry.failedWorkers.empty() && entry.job.idempotent;
+    const bool isUnrestricted = entry.failedWorkers.empty() && entry.job.idempotent;
     if (std::any_of(this->unplaceable.begin(), this->unplaceable.end(), failedBefore))
         return false;
     auto* worker = this->tables.workers.findFit(size, this->tables.profile.packsTightly,
         [&](const WorkerEntry& candidate) { return accepts(candidate, entry); });
     if (!worker) {
-        if (isPlain) {
-            // Larger sizes need not be remembered beside a smaller one.
+        if (isUnrestricted) {
+            // A larger size need not be remembered when a smaller one has failed.
             std::erase_if(this->unplaceable, [&](const Resources& failed) { return size.fitsWithin(failed); });
             this->unplaceable.push_back(size);
         }
         return false;
     }
-    this->tables.begin(entry, worker->record.id, size, false);
+    this->tables.createAttempt(entry, worker->record.id, size, false);
     return true;
 }
 
--- a/modules/fleet/placement/systems/JobPlacer.h
+++ b/modules/fleet/placement/systems/JobPlacer.h
@@ -11,7 +11,7 @@
 struct TeamEntry;
 struct WorkerEntry;
 
-/// Finds places for single jobs within one tick, and remembers sizes that found none.
+/// Places single jobs within one tick and remembers sizes that fitted on no worker.
 class JobPlacer {
 public:
     explicit JobPlacer(PlacementTables& tables)
@@ -19,9 +19,9 @@
     {
     }
 
-    /// Whether the team may begin the job now: its upper limit, its share, and what it may borrow beyond that.
-    bool mayBegin(const TeamEntry&, const Resources& size) const;
-    /// Begins the job on a worker that has the space. Returns whether it found one.
+    /// Whether the team may start the job now under its upper limit, its share and what it may borrow beyond the share.
+    bool mayStart(const TeamEntry&, const Resources& size) const;
+    /// Starts the job on a worker with enough free capacity. Returns whether there was one.
     bool place(JobEntry&);
     /// Whether the worker may be given the job.
     static bool accepts(const WorkerEntry&, const JobEntry&);
--- a/modules/fleet/placement/systems/KindHistory.h
+++ b/modules/fleet/placement/systems/KindHistory.h
@@ -4,7 +4,7 @@
 
 namespace Greengage {
 
-/// What has been seen of the jobs of one team and kind.
+/// Observed ratios of actual to declared values for the jobs of one team and kind.
 struct KindHistory {
     SizeHistory processors;
     SizeHistory memory;
--- a/modules/fleet/placement/systems/PlaceSystem.cpp
+++ b/modules/fleet/placement/systems/PlaceSystem.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// How many of a team's jobs are tried in one tick when the first does not fit.
+/// How many of a team's jobs are tried per tick when the first does not fit.
 constexpr int maxTriesPerTeam = 4;
 
 std::string describeMisfit(const Resources& size, const Resources& largest)
@@ -25,13 +25,13 @@
     return text.str();
 }
 
-/// Begins the first of the team's waiting jobs of a priority that can be placed.
+/// Starts the first of the team's waiting jobs of a priority that can be placed.
 bool placeFirst(PlacementTables& tables, JobPlacer& placer, TeamEntry& team, Priority priority)
 {
     int tries = 0;
     for (const auto& [arrival, id] : team.waiting[static_cast<std::size_t>(priority)]) {
         auto& entry = tables.jobs.at(id);
-        if (!placer.mayBegin(team, tables.sizeOf(entry)) || ++tries > maxTriesPerTeam)
+        if (!placer.mayStart(team, tables.sizeOf(entry)) || ++tries > maxTriesPerTeam)
             return false;
         if (placer.place(entry))
             return true;
@@ -45,35 +45,35 @@
         || placeFirst(tables, placer, team, Priority::Batch);
 }
 
-double positionOf(const PlacementTables& tables, const TeamEntry& team)
+double relativeUsageOf(const PlacementTables& tables, const TeamEntry& team)
 {
     return tables.teams.usageOf(team) / std::max(1e-9, tables.teams.shareOf(team));
 }
 
-/// Gives the team that is furthest below its share one place after the other, until nobody's job can be placed.
+/// Repeatedly places one job of the team that is furthest below its share, until no further job can be placed.
 template <typename Place> void placeByShare(PlacementTables& tables, const Place& place)
 {
-    using Position = std::pair<double, TeamEntry*>;
-    auto isBehind = [](const Position& left, const Position& right) {
+    using RelativeUsage = std::pair<double, TeamEntry*>;
+    auto isBehind = [](const RelativeUsage& left, const RelativeUsage& right) {
         if (left.first != right.first)
             return left.first > right.first;
         return left.second->team.name > right.second->team.name;
     };
-    std::priority_queue<Position, std::vector<Position>, decltype(isBehind)> order(isBehind);
+    std::priority_queue<RelativeUsage, std::vector<RelativeUsage>, decltype(isBehind)> order(isBehind);
     for (auto& [id, team] : tables.teams.all()) {
-        if (team.isKnown && team.hasWaiting())
-            order.push({ positionOf(tables, team), &team });
+        if (team.isKnown && team.hasWaitingJobs())
+            order.push({ relativeUsageOf(tables, team), &team });
     }
     while (!order.empty()) {
         auto* team = order.top().second;
         order.pop();
-        if (place(*team) && team->hasWaiting())
-            order.push({ positionOf(tables, *team), team });
+        if (place(*team) && team->hasWaitingJobs())
+            order.push({ relativeUsageOf(tables, *team), team });
     }
 }
 
-/// Places jobs in the order in which they came, whoever submitted them. As with shares, a team waits for the next tick
-/// when it may not begin a job or several of its jobs have found no place.
+/// Places jobs in order of arrival across all teams. As with shares, a team waits for the next tick when it may not
+/// start a job or several of its jobs could not be placed.
 void placeByArrival(PlacementTables& tables, JobPlacer& placer)
 {
     std::map<std::uint64_t, JobId> next;
@@ -95,7 +95,7 @@
         next.erase(next.begin());
         auto& entry = tables.jobs.at(job);
         auto& team = tables.teams.entry(entry.job.team);
-        if (!placer.mayBegin(team, tables.sizeOf(entry)))
+        if (!placer.mayStart(team, tables.sizeOf(entry)))
             continue;
         if (!placer.place(entry) && ++failures[entry.job.team] >= maxTriesPerTeam)
             continue;
@@ -111,20 +111,20 @@
     if (tables.workers.all().empty())
         return;
     std::vector<std::pair<JobId, std::string>> refused;
-    std::vector<JobId> orphaned;
+    std::vector<JobId> withoutTeam;
     for (auto& [id, team] : tables.teams.all()) {
         for (const auto& queue : team.waiting) {
             for (const auto& [arrival, job] : queue) {
                 const auto size = tables.sizeOf(tables.jobs.at(job));
                 if (!team.isKnown)
-                    orphaned.push_back(job);
+                    withoutTeam.push_back(job);
                 else if (!size.fitsWithin(largest))
                     refused.emplace_back(job, describeMisfit(size, largest));
             }
         }
     }
-    for (const auto& job : orphaned)
-        tables.endJob(job, JobOutcome::UnknownTeam, "the team has left the document");
+    for (const auto& job : withoutTeam)
+        tables.endJob(job, JobOutcome::UnknownTeam, "the team was removed from the document");
     for (const auto& [job, detail] : refused)
         tables.endJob(job, JobOutcome::NeverFits, detail);
 }
@@ -139,11 +139,12 @@
         const auto& team = tables.teams.entry(attempt.team);
         if (!worker->isListed || worker->record.isDraining || worker->health != WorkerHealth::Healthy)
             withdrawn.push_back(number);
-        else if (attempt.reserved.fitsWithin(worker->record.capacity - worker->held) && team.sent < team.team.limit)
-            tables.send(attempt);
+        else if (attempt.reserved.fitsWithin(worker->record.capacity - worker->held)
+            && team.sentCount < team.team.limit)
+            tables.sendAttempt(attempt);
     }
     for (auto number : withdrawn)
-        tables.withdraw(number);
+        tables.withdrawAttempt(number);
 }
 
 void placeJobs(PlacementTables& tables)
--- a/modules/fleet/placement/systems/PlaceSystem.h
+++ b/modules/fleet/placement/systems/PlaceSystem.h
@@ -4,10 +4,10 @@
 
 struct PlacementTables;
 
-/// Ends waiting jobs that no worker could ever hold, and those whose team has left the document.
+/// Ends waiting jobs that exceed the capacity of every worker, and those whose team has been removed from the document.
 void refuseImpossibleJobs(PlacementTables&);
 
-/// Sends attempts whose space has been freed, and gives up those whose worker may no longer be given work.
+/// Sends attempts whose capacity has been freed, and withdraws those whose worker may no longer receive work.
 void sendAwaiting(PlacementTables&);
 
 /// Places waiting jobs: urgent ones first, then those of the teams furthest below their shares.
--- a/modules/fleet/placement/systems/PlacementTables.cpp
+++ b/modules/fleet/placement/systems/PlacementTables.cpp
@@ -5,19 +5,19 @@
 
 namespace {
 
-constexpr Seconds leaseSpan(10);
+constexpr Seconds leaseDuration(10);
 
 } // namespace
 
 Resources PlacementTables::sizeOf(const JobEntry& entry) const
 {
     auto size = this->profile.learnsSizes ? SizeLearner::estimate(*entry.history, entry.job) : entry.job.declared;
-    return size.max(entry.leastSize);
+    return size.max(entry.minimumSize);
 }
 
-void PlacementTables::begin(JobEntry& entry, const WorkerId& worker, const Resources& size, bool awaits)
+void PlacementTables::createAttempt(JobEntry& entry, const WorkerId& worker, const Resources& size, bool awaitsCapacity)
 {
-    this->unqueue(entry);
+    this->dequeue(entry);
     Attempt attempt;
     attempt.number = this->nextAttempt++;
     attempt.job = entry.job.id;
@@ -32,43 +32,43 @@
     this->workers.add(attempt);
     this->teams.add(attempt);
     auto& stored = this->attempts[attempt.number] = attempt;
-    if (!awaits)
-        this->send(stored);
+    if (!awaitsCapacity)
+        this->sendAttempt(stored);
 }
 
-void PlacementTables::send(Attempt& attempt)
+void PlacementTables::sendAttempt(Attempt& attempt)
 {
     this->awaiting.erase(attempt.number);
     this->setPhase(attempt, AttemptPhase::Starting);
     attempt.startedAt = this->now;
-    attempt.lease = Deadline::after(this->now, leaseSpan);
+    attempt.lease = Deadline::after(this->now, leaseDuration);
     this->outputs.emplace_back(
         StartTask { attempt.number, attempt.job, attempt.worker, attempt.workerBoot, attempt.reserved, attempt.lease });
 }
 
-void PlacementTables::stop(Attempt& attempt, bool requeues)
+void PlacementTables::stopAttempt(Attempt& attempt, bool requeues)
 {
     if (attempt.phase == AttemptPhase::Ending)
         return;
     this->setPhase(attempt, AttemptPhase::Ending);
-    attempt.isRequeued = requeues;
+    attempt.requeuesJob = requeues;
     const bool canCheckpoint = requeues && this->jobs.at(attempt.job).job.canCheckpoint;
     this->outputs.emplace_back(StopTask { attempt.number, attempt.worker, attempt.workerBoot, canCheckpoint });
 }
 
-void PlacementTables::withdraw(std::uint64_t number)
+void PlacementTables::withdrawAttempt(std::uint64_t number)
 {
     auto& attempt = this->attempts.at(number);
-    assertInvariant(attempt.phase == AttemptPhase::Awaiting, "only an attempt that was not sent is withdrawn");
+    assertInvariant(attempt.phase == AttemptPhase::Awaiting, "only an attempt that was not sent can be withdrawn");
     auto job = attempt.job;
-    this->forget(number);
-    this->queue(this->jobs.at(job));
+    this->removeAttempt(number);
+    this->enqueue(this->jobs.at(job));
 }
 
 void PlacementTables::setPhase(Attempt& attempt, AttemptPhase phase)
 {
     if (attempt.phase == AttemptPhase::Awaiting)
-        this->workers.hold(attempt);
+        this->workers.markHeld(attempt);
     this->teams.remove(attempt);
     attempt.phase = phase;
     this->teams.add(attempt);
@@ -83,7 +83,7 @@
     this->teams.add(attempt);
 }
 
-void PlacementTables::forget(std::uint64_t number)
+void PlacementTables::removeAttempt(std::uint64_t number)
 {
     auto found = this->attempts.find(number);
     const auto& attempt = found->second;
@@ -96,14 +96,14 @@
     this->attempts.erase(found);
 }
 
-void PlacementTables::queue(JobEntry& entry)
+void PlacementTables::enqueue(JobEntry& entry)
 {
     entry.isWaiting = true;
     auto& team = this->teams.entry(entry.job.team);
     team.waiting[static_cast<std::size_t>(entry.job.priority)][entry.arrival] = entry.job.id;
 }
 
-void PlacementTables::unqueue(JobEntry& entry)
+void PlacementTables::dequeue(JobEntry& entry)
 {
     entry.isWaiting = false;
     auto& team = this->teams.entry(entry.job.team);
@@ -115,14 +115,14 @@
     auto found = this->jobs.find(id);
     if (found == this->jobs.end())
         return;
-    this->unqueue(found->second);
+    this->dequeue(found->second);
     const auto running = found->second.attempts;
     for (auto number : running) {
         auto& attempt = this->attempts.at(number);
         if (attempt.phase == AttemptPhase::Awaiting)
-            this->forget(number);
+            this->removeAttempt(number);
         else
-            this->stop(attempt, false);
+            this->stopAttempt(attempt, false);
     }
     this->jobs.erase(id);
     this->outputs.emplace_back(JobEnded { id, outcome, std::move(detail) });
--- a/modules/fleet/placement/systems/PlacementTables.h
+++ b/modules/fleet/placement/systems/PlacementTables.h
@@ -18,8 +18,8 @@
 
 namespace Greengage {
 
-/// The tables that the systems of placement run over, and what they ask for in this tick. The functions keep the tables
-/// in step with each other.
+/// The tables on which the placement systems run, and the outputs of the current tick. The member functions keep the
+/// tables consistent with each other.
 struct PlacementTables {
     explicit PlacementTables(const PlacementProfile& profile)
         : profile(profile)
@@ -27,25 +27,25 @@
     {
     }
 
-    /// What to reserve for the job now.
+    /// The resources to reserve for the job now.
     Resources sizeOf(const JobEntry&) const;
 
-    /// Makes an attempt. It is sent at once unless it is to await space.
-    void begin(JobEntry&, const WorkerId&, const Resources& size, bool awaits);
-    /// Sends an attempt that was awaiting space.
-    void send(Attempt&);
-    /// Asks the worker to end an attempt; with `requeues` the job goes on later.
-    void stop(Attempt&, bool requeues);
-    /// Gives up an attempt that has not been sent.
-    void withdraw(std::uint64_t number);
+    /// Creates an attempt and sends it at once, unless it has to wait until capacity has been freed.
+    void createAttempt(JobEntry&, const WorkerId&, const Resources& size, bool awaitsCapacity);
+    /// Sends an attempt that has not been sent yet and starts its lease.
+    void sendAttempt(Attempt&);
+    /// Asks the worker to end an attempt; with `requeues` the job is queued again afterwards.
+    void stopAttempt(Attempt&, bool requeues);
+    /// Removes an attempt that has not been sent and queues its job again.
+    void withdrawAttempt(std::uint64_t number);
     void setPhase(Attempt&, AttemptPhase);
     void setReserved(Attempt&, const Resources&);
     /// Removes an attempt that is known to have ended.
-    void forget(std::uint64_t number);
+    void removeAttempt(std::uint64_t number);
 
-    void queue(JobEntry&);
-    void unqueue(JobEntry&);
-    /// Ends a job; attempts of it that may still run are stopped.
+    void enqueue(JobEntry&);
+    void dequeue(JobEntry&);
+    /// Ends a job and stops those of its attempts that may still be running.
     void endJob(const JobId&, JobOutcome, std::string detail);
 
     PlacementProfile profile;
@@ -55,7 +55,7 @@
     TeamTable teams;
     std::unordered_map<JobId, JobEntry> jobs;
     std::map<std::uint64_t, Attempt> attempts;
-    /// Attempts whose space is being freed.
+    /// Attempts that wait until capacity has been freed.
     std::set<std::uint64_t> awaiting;
     std::uint64_t nextAttempt = 1;
     std::uint64_t nextArrival = 1;
--- a/modules/fleet/placement/systems/PreemptSystem.cpp
+++ b/modules/fleet/placement/systems/PreemptSystem.cpp
@@ -12,17 +12,17 @@
 
 constexpr int maxUrgentPreemptionsPerTick = 32;
 constexpr int maxSharePreemptionsPerTick = 8;
-constexpr int maxVictimsLookedAt = 32;
+constexpr int maxVictimsExamined = 32;
 
 using IsVictim = std::function<bool(const Attempt&, const Job&)>;
 
-/// Tasks to checkpoint on one worker so that a job fits there.
+/// The tasks to checkpoint on one worker so that a job fits there.
 struct Preemption {
     WorkerId worker;
     std::vector<std::uint64_t> victims;
 };
 
-/// Whether the task was begun and can be stopped without losing its work.
+/// Whether the task is running and can be stopped without losing its work.
 bool isStoppable(const PlacementTables& tables, const Attempt& attempt, const IsVictim& isVictim)
 {
     if (attempt.phase != AttemptPhase::Running)
@@ -31,12 +31,12 @@
     return job != tables.jobs.end() && job->second.job.canCheckpoint && isVictim(attempt, job->second.job);
 }
 
-std::optional<Preemption> planOn(
+std::optional<Preemption> planPreemptionOn(
     const PlacementTables& tables, const WorkerEntry& worker, const Resources& size, const IsVictim& isVictim)
 {
     Preemption plan { worker.record.id, {} };
     auto free = worker.free();
-    // The newest go first: they have the least work to save.
+    // The newest tasks are preempted first: they have the least work to save.
     for (auto number = worker.attempts.rbegin(); number != worker.attempts.rend(); ++number) {
         const auto& attempt = tables.attempts.at(*number);
         if (!isStoppable(tables, attempt, isVictim))
@@ -49,21 +49,21 @@
     return std::nullopt;
 }
 
-bool mayTake(const WorkerEntry& worker, const JobEntry& entry)
+bool isEligible(const WorkerEntry& worker, const JobEntry& entry)
 {
     return worker.isUsable() && JobPlacer::accepts(worker, entry);
 }
 
-/// The plan with the fewest victims over all workers; the first by name among equals.
+/// The plan with the fewest victims over all workers; ties go to the first worker by name.
 std::optional<Preemption> findPlan(
     PlacementTables& tables, const JobEntry& entry, const Resources& size, const IsVictim& isVictim)
 {
     std::optional<Preemption> best;
     for (const auto& id : tables.workers.usable()) {
         const auto& worker = *tables.workers.find(id);
-        if (!mayTake(worker, entry))
+        if (!isEligible(worker, entry))
             continue;
-        auto plan = planOn(tables, worker, size, isVictim);
+        auto plan = planPreemptionOn(tables, worker, size, isVictim);
         if (!plan || (best && plan->victims.size() >= best->victims.size()))
             continue;
         best = std::move(plan);
@@ -74,40 +74,40 @@
 }
 
 /// A plan on a worker that runs one of the newest tasks of a team above its share.
-std::optional<Preemption> findPlanAgainst(PlacementTables& tables, const TeamEntry& owner, const JobEntry& entry,
+std::optional<Preemption> findPlanAgainstTeam(PlacementTables& tables, const TeamEntry& owner, const JobEntry& entry,
     const Resources& size, const IsVictim& isVictim)
 {
-    int looked = 0;
-    for (auto number = owner.live.rbegin(); number != owner.live.rend() && looked < maxVictimsLookedAt; ++number) {
+    int examined = 0;
+    for (auto number = owner.live.rbegin(); number != owner.live.rend() && examined < maxVictimsExamined; ++number) {
         const auto& attempt = tables.attempts.at(*number);
         if (!isStoppable(tables, attempt, isVictim))
             continue;
-        looked++;
+        examined++;
         const auto& worker = *tables.workers.find(attempt.worker);
-        if (!mayTake(worker, entry))
+        if (!isEligible(worker, entry))
             continue;
-        if (auto plan = planOn(tables, worker, size, isVictim))
+        if (auto plan = planPreemptionOn(tables, worker, size, isVictim))
             return plan;
     }
     return std::nullopt;
 }
 
-void carryOut(PlacementTables& tables, JobEntry& entry, const Resources& size, const Preemption& plan)
+void applyPreemption(PlacementTables& tables, JobEntry& entry, const Resources& size, const Preemption& plan)
 {
     for (auto number : plan.victims)
-        tables.stop(tables.attempts.at(number), true);
-    tables.begin(entry, plan.worker, size, true);
+        tables.stopAttempt(tables.attempts.at(number), true);
+    tables.createAttempt(entry, plan.worker, size, true);
 }
 
 bool isWithinLimit(const TeamEntry& team) { return team.live.size() < static_cast<std::size_t>(team.team.limit); }
 
-/// Frees space for one urgent job. A team at its upper limit makes room among its own tasks.
+/// Frees capacity for one urgent job. A team at its upper limit preempts only its own tasks.
 bool preemptFor(PlacementTables& tables, TeamEntry& team, JobEntry& entry)
 {
     const auto size = tables.sizeOf(entry);
-    const bool mustBeOwn = !isWithinLimit(team) || team.sent >= team.team.limit;
+    const bool mustPreemptOwnTasks = !isWithinLimit(team) || team.sentCount >= team.team.limit;
     auto isVictim = [&](const Attempt& attempt, const Job& job) {
-        return job.priority != Priority::Urgent && (!mustBeOwn || attempt.team == team.team.name);
+        return job.priority != Priority::Urgent && (!mustPreemptOwnTasks || attempt.team == team.team.name);
     };
     auto isBatchVictim = [&](const Attempt& attempt, const Job& job) {
         return job.priority == Priority::Batch && isVictim(attempt, job);
@@ -116,11 +116,11 @@
     if (!plan)
         plan = findPlan(tables, entry, size, isVictim);
     if (plan)
-        carryOut(tables, entry, size, *plan);
+        applyPreemption(tables, entry, size, *plan);
     return plan.has_value();
 }
 
-/// The first waiting job of the team, the most urgent first.
+/// The team's first waiting job in the most urgent queue that is not empty.
 JobEntry* firstWaiting(PlacementTables& tables, TeamEntry& team)
 {
     for (auto& queue : team.waiting) {
@@ -130,8 +130,8 @@
     return nullptr;
 }
 
-/// The teams that are further above their shares than is tolerated, the furthest first.
-std::vector<TeamEntry*> teamsAbove(PlacementTables& tables)
+/// The teams that exceed their shares by more than the tolerance, in descending order of excess.
+std::vector<TeamEntry*> teamsAboveShare(PlacementTables& tables)
 {
     std::vector<std::pair<double, TeamEntry*>> above;
     for (auto& [id, team] : tables.teams.all()) {
@@ -149,20 +149,20 @@
 bool preemptForTeam(PlacementTables& tables, TeamEntry& team)
 {
     auto* entry = firstWaiting(tables, team);
-    if (!entry || !isWithinLimit(team) || team.sent >= team.team.limit)
+    if (!entry || !isWithinLimit(team) || team.sentCount >= team.team.limit)
         return false;
     const auto size = tables.sizeOf(*entry);
     auto& teams = tables.teams;
     if (teams.usageWith(team, size) > teams.shareOf(team))
         return false;
-    for (const auto* owner : teamsAbove(tables)) {
+    for (const auto* owner : teamsAboveShare(tables)) {
         auto isVictim = [&](const Attempt& attempt, const Job& job) {
             return job.priority != Priority::Urgent && attempt.team == owner->team.name;
         };
-        auto plan = findPlanAgainst(tables, *owner, *entry, size, isVictim);
+        auto plan = findPlanAgainstTeam(tables, *owner, *entry, size, isVictim);
         if (!plan)
             continue;
-        carryOut(tables, *entry, size, *plan);
+        applyPreemption(tables, *entry, size, *plan);
         return true;
     }
     return false;
@@ -185,8 +185,8 @@
             left--;
             if (preemptFor(tables, team, entry))
                 continue;
-            const bool isPlain = isWithinLimit(team) && entry.failedWorkers.empty() && entry.job.idempotent;
-            if (isPlain)
+            const bool isUnrestricted = isWithinLimit(team) && entry.failedWorkers.empty() && entry.job.idempotent;
+            if (isUnrestricted)
                 unplaceable.push_back(size);
             break;
         }
@@ -198,7 +198,7 @@
     std::vector<std::pair<double, TeamEntry*>> below;
     for (auto& [id, team] : tables.teams.all()) {
         auto distance = tables.teams.shareOf(team) - tables.teams.usageOf(team);
-        if (team.isKnown && team.hasWaiting() && distance > 0)
+        if (team.isKnown && team.hasWaitingJobs() && distance > 0)
             below.emplace_back(-distance, &team);
     }
     std::sort(below.begin(), below.end());
@@ -223,7 +223,7 @@
             const bool endsSoon
                 = expectedEnd >= tables.now && expectedEnd <= tables.now + tables.profile.finishOnDrainWithin;
             if (!endsSoon)
-                tables.stop(attempt, true);
+                tables.stopAttempt(attempt, true);
         }
     }
 }
--- a/modules/fleet/placement/systems/PreemptSystem.h
+++ b/modules/fleet/placement/systems/PreemptSystem.h
@@ -4,13 +4,13 @@
 
 struct PlacementTables;
 
-/// Frees space for urgent jobs that found none, by checkpointing less urgent tasks.
+/// Frees capacity for urgent jobs that could not be placed, by checkpointing less urgent tasks.
 void preemptForUrgent(PlacementTables&);
 
-/// Frees space for teams below their share, by checkpointing tasks of teams above theirs.
+/// Frees capacity for teams below their share, by checkpointing tasks of teams above theirs.
 void preemptForShares(PlacementTables&);
 
-/// Checkpoints or lets end what runs on workers that maintenance drains.
+/// Checkpoints the tasks on draining workers, except those that are expected to end soon.
 void drainWorkers(PlacementTables&);
 
 } // namespace Greengage
--- a/modules/fleet/placement/systems/ReportSystem.cpp
+++ b/modules/fleet/placement/systems/ReportSystem.cpp
@@ -9,13 +9,13 @@
 
 namespace {
 
-constexpr Seconds leaseSpan(10);
-constexpr Seconds lapsedAskInterval(5);
-/// A task that has run for so long shows that its worker is well.
-constexpr Seconds settledRunTime(10);
+constexpr Seconds leaseDuration(10);
+constexpr Seconds expiredAskInterval(5);
+/// A task that has run for this long shows that its worker is healthy.
+constexpr Seconds healthyRunTime(10);
 constexpr int maxFailures = 3;
-constexpr std::ptrdiff_t maxGoodWorkersThatFailAJob = 3;
-constexpr std::size_t maxWorkersThatFailAJob = 6;
+constexpr std::ptrdiff_t maxProvenWorkersFailingJob = 3;
+constexpr std::size_t maxWorkersFailingJob = 6;
 constexpr double memoryGrowth = 2.0;
 
 JobEntry* jobOf(PlacementTables& tables, const Attempt& attempt)
@@ -24,11 +24,11 @@
     return found == tables.jobs.end() ? nullptr : &found->second;
 }
 
-/// Queues the job again unless it waits or another attempt of it is live.
+/// Queues the job again unless it is waiting or another attempt of it is live.
 void requeue(PlacementTables& tables, JobEntry& entry)
 {
     if (!entry.isWaiting && entry.attempts.empty())
-        tables.queue(entry);
+        tables.enqueue(entry);
 }
 
 void growReservation(PlacementTables& tables, Attempt& attempt, const Resources& peak)
@@ -46,52 +46,52 @@
     }
 }
 
-void noteRunning(PlacementTables& tables, Attempt& attempt, const AttemptReported& report)
+void handleRunning(PlacementTables& tables, Attempt& attempt, const AttemptReported& report)
 {
-    if (attempt.phase == AttemptPhase::Lapsed) {
+    if (attempt.phase == AttemptPhase::Expired) {
         auto* entry = jobOf(tables, attempt);
         const bool isOnlyCopy = entry && entry->attempts.size() == 1;
         if (!isOnlyCopy) {
             tables.outputs.emplace_back(StopTask { attempt.number, attempt.worker, attempt.workerBoot, false });
             return;
         }
-        tables.unqueue(*entry);
+        tables.dequeue(*entry);
         tables.setPhase(attempt, AttemptPhase::Running);
     }
-    attempt.lease = std::max(attempt.lease, Deadline::after(report.notBefore, leaseSpan));
+    attempt.lease = std::max(attempt.lease, Deadline::after(report.notBefore, leaseDuration));
     if (attempt.phase == AttemptPhase::Ending) {
         const auto* entry = jobOf(tables, attempt);
-        const bool canCheckpoint = entry && attempt.isRequeued && entry->job.canCheckpoint;
+        const bool canCheckpoint = entry && attempt.requeuesJob && entry->job.canCheckpoint;
         tables.outputs.emplace_back(StopTask { attempt.number, attempt.worker, attempt.workerBoot, canCheckpoint });
         return;
     }
     if (attempt.phase == AttemptPhase::Starting)
         tables.setPhase(attempt, AttemptPhase::Running);
-    if (tables.now - attempt.startedAt >= settledRunTime)
-        noteWorkerSuccess(tables, attempt);
+    if (tables.now - attempt.startedAt >= healthyRunTime)
+        recordWorkerSuccess(tables, attempt);
     growReservation(tables, attempt, report.peakUsage);
 }
 
-/// Whether the job has failed on several workers that do others well, on many, or on all.
-bool isToBlame(PlacementTables& tables, const JobEntry& entry)
+/// Whether the job has failed on several workers that run other jobs successfully, on many workers, or on all.
+bool isJobAtFault(PlacementTables& tables, const JobEntry& entry)
 {
-    auto isGood = [&](const WorkerId& id) {
+    auto isProven = [&](const WorkerId& id) {
         const auto* worker = tables.workers.find(id);
-        return worker && worker->hasDoneWell && worker->health == WorkerHealth::Healthy;
+        return worker && worker->hasSucceeded && worker->health == WorkerHealth::Healthy;
     };
-    auto good = std::count_if(entry.failedWorkers.begin(), entry.failedWorkers.end(), isGood);
-    return good >= maxGoodWorkersThatFailAJob || entry.failedWorkers.size() >= maxWorkersThatFailAJob
+    auto proven = std::count_if(entry.failedWorkers.begin(), entry.failedWorkers.end(), isProven);
+    return proven >= maxProvenWorkersFailingJob || entry.failedWorkers.size() >= maxWorkersFailingJob
         || entry.failedWorkers.size() >= tables.workers.all().size();
 }
 
 void endFailedStart(PlacementTables& tables, const Attempt& attempt)
 {
-    noteWorkerFailure(tables, attempt);
+    recordWorkerFailure(tables, attempt);
     auto* entry = jobOf(tables, attempt);
     if (!entry)
         return;
     entry->failedWorkers.insert(attempt.worker);
-    if (isToBlame(tables, *entry))
+    if (isJobAtFault(tables, *entry))
         tables.endJob(attempt.job, JobOutcome::NeverStarts,
             "could not be started on any of " + std::to_string(entry->failedWorkers.size()) + " workers");
     else
@@ -103,12 +103,12 @@
     auto* entry = jobOf(tables, attempt);
     const bool isOutOfMemory = report.status == AttemptStatus::OutOfMemory;
     if (!isOutOfMemory)
-        noteWorkerFailure(tables, attempt);
+        recordWorkerFailure(tables, attempt);
     if (!entry)
         return;
     if (isOutOfMemory) {
         tables.learner.learnSize(*entry->history, entry->job, report.peakUsage);
-        entry->leastSize.memoryGigabytes = attempt.reserved.memoryGigabytes * memoryGrowth;
+        entry->minimumSize.memoryGigabytes = attempt.reserved.memoryGigabytes * memoryGrowth;
     } else {
         entry->failedWorkers.insert(attempt.worker);
         entry->failures++;
@@ -121,7 +121,7 @@
 
 void endCompleted(PlacementTables& tables, const Attempt& attempt, const AttemptReported& report)
 {
-    noteWorkerSuccess(tables, attempt);
+    recordWorkerSuccess(tables, attempt);
     if (auto* entry = jobOf(tables, attempt)) {
         tables.learner.learnSize(*entry->history, entry->job, report.peakUsage);
         tables.learner.learnRunTime(*entry->history, entry->job, tables.now - attempt.startedAt);
@@ -129,7 +129,7 @@
     tables.endJob(attempt.job, JobOutcome::Completed, {});
 }
 
-/// The attempt has stopped before its end and without a checkpoint.
+/// The attempt has stopped before completion and without a checkpoint.
 void endStopped(PlacementTables& tables, const Attempt& attempt)
 {
     auto* entry = jobOf(tables, attempt);
@@ -138,7 +138,7 @@
     if (entry->job.idempotent)
         requeue(tables, *entry);
     else
-        tables.endJob(attempt.job, JobOutcome::Lost, "stopped before its end; may have run in part");
+        tables.endJob(attempt.job, JobOutcome::Lost, "stopped before completion; may have run in part");
 }
 
 } // namespace
@@ -149,11 +149,11 @@
     if (found == tables.attempts.end() || found->second.phase == AttemptPhase::Awaiting)
         return;
     if (report.status == AttemptStatus::Running) {
-        noteRunning(tables, found->second, report);
+        handleRunning(tables, found->second, report);
         return;
     }
     const auto attempt = found->second;
-    tables.forget(report.attempt);
+    tables.removeAttempt(report.attempt);
     switch (report.status) {
     case AttemptStatus::Completed:
         endCompleted(tables, attempt, report);
@@ -183,10 +183,10 @@
         if (attempt.workerBoot >= worker->record.boot)
             continue;
         if (attempt.phase == AttemptPhase::Awaiting) {
-            tables.withdraw(number);
+            tables.withdrawAttempt(number);
             continue;
         }
-        tables.forget(number);
+        tables.removeAttempt(number);
         endStopped(tables, attempt);
     }
 }
@@ -197,11 +197,11 @@
         if (attempt.phase == AttemptPhase::Awaiting || !attempt.lease.hasPassed(tables.now))
             continue;
         auto* entry = jobOf(tables, attempt);
-        const bool hasJustLapsed = attempt.phase != AttemptPhase::Lapsed;
-        tables.setPhase(attempt, AttemptPhase::Lapsed);
-        attempt.lease = Deadline::after(tables.now, lapsedAskInterval);
-        if (hasJustLapsed && entry && entry->job.idempotent && !entry->isWaiting)
-            tables.queue(*entry);
+        const bool hasJustExpired = attempt.phase != AttemptPhase::Expired;
+        tables.setPhase(attempt, AttemptPhase::Expired);
+        attempt.lease = Deadline::after(tables.now, expiredAskInterval);
+        if (hasJustExpired && entry && entry->job.idempotent && !entry->isWaiting)
+            tables.enqueue(*entry);
         tables.outputs.emplace_back(AskAttempt { number, attempt.worker, attempt.workerBoot });
     }
 }
--- a/modules/fleet/placement/systems/ReportSystem.h
+++ b/modules/fleet/placement/systems/ReportSystem.h
@@ -7,14 +7,14 @@
 struct AttemptReported;
 struct PlacementTables;
 
-/// Takes a worker's report on an attempt: renews its lease, ends it, learns from it.
+/// Applies a worker's report on an attempt: renews its lease or ends it, and learns from its usage.
 void applyReport(PlacementTables&, const AttemptReported&);
 
-/// Ends the attempts of a worker's earlier boot. A job that may not be repeated is lost if it may have begun.
+/// Ends the attempts of a worker's earlier boot. A job that is not idempotent is lost if it may have started.
 void applyBoot(PlacementTables&, const WorkerId&);
 
-/// Treats attempts whose lease has lapsed as running still: a job that may be repeated is queued again, another waits
-/// until its worker has answered.
+/// Treats attempts whose lease has expired as still running: an idempotent job is queued again, any other waits until
+/// its worker has answered.
 void expireLeases(PlacementTables&);
 
 } // namespace Greengage
--- a/modules/fleet/placement/systems/SizeHistory.cpp
+++ b/modules/fleet/placement/systems/SizeHistory.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// Until so many sizes have been seen, the declared size is a lower bound.
-constexpr std::size_t fewSizes = 4;
+/// Until this many sizes have been observed, the declared size is a lower bound.
+constexpr std::size_t minObservedSizes = 4;
 
 } // namespace
 
@@ -21,7 +21,7 @@
     auto rank = static_cast<std::size_t>(std::ceil(quantile * static_cast<double>(known)));
     auto chosen = sorted.begin() + static_cast<std::ptrdiff_t>(std::clamp<std::size_t>(rank, 1, known) - 1);
     std::nth_element(sorted.begin(), chosen, sorted.begin() + static_cast<std::ptrdiff_t>(known));
-    this->cachedFactor = this->count < fewSizes ? std::max(1.0, *chosen) : *chosen;
+    this->cachedFactor = this->count < minObservedSizes ? std::max(1.0, *chosen) : *chosen;
 }
 
 } // namespace Greengage
--- a/modules/fleet/placement/systems/SizeHistory.h
+++ b/modules/fleet/placement/systems/SizeHistory.h
@@ -5,11 +5,11 @@
 
 namespace Greengage {
 
-/// The newest ratios of an actual size to the declared one, and a quantile of them.
+/// The most recent ratios of actual to declared size, and a quantile of them.
 class SizeHistory {
 public:
     void add(double ratio, double quantile);
-    /// The quantile, or 1 before anything has been added.
+    /// The quantile, or 1 before the first ratio is added.
     double factor() const { return this->cachedFactor; }
 
 private:
--- a/modules/fleet/placement/systems/SizeLearner.h
+++ b/modules/fleet/placement/systems/SizeLearner.h
@@ -13,7 +13,7 @@
 
 struct Job;
 
-/// Learns how far the declarations of each team and kind of job are off.
+/// Learns the ratio of actual to declared values for each team and kind of job.
 class SizeLearner {
 public:
     explicit SizeLearner(double quantile)
@@ -21,13 +21,13 @@
     {
     }
 
-    /// What has been seen of jobs like this one; it stays where it is for good.
+    /// The history of jobs of the same team and kind; the reference stays valid.
     KindHistory& historyOf(const Job&);
 
     void learnSize(KindHistory&, const Job&, const Resources& peakUsage) const;
     void learnRunTime(KindHistory&, const Job&, Microseconds) const;
 
-    /// What to reserve for the job. Accelerators are taken as declared.
+    /// The resources to reserve for the job. Accelerators are reserved as declared.
     static Resources estimate(const KindHistory&, const Job&);
     static Microseconds expectedRunTime(const KindHistory&, const Job&);
 
--- a/modules/fleet/placement/systems/TeamEntry.h
+++ b/modules/fleet/placement/systems/TeamEntry.h
@@ -10,22 +10,22 @@
 
 namespace Greengage {
 
-/// A team with its waiting jobs and what it has running.
+/// A team with its waiting jobs and its attempts.
 struct TeamEntry {
     Team team;
-    /// Whether the document in force has it.
+    /// Whether the current document contains the team.
     bool isKnown = false;
     /// Waiting jobs by priority, each in order of arrival.
     std::array<std::map<std::uint64_t, JobId>, 3> waiting;
     /// Attempts that are not being ended.
     std::set<std::uint64_t> live;
-    /// Attempts that may be running, those being ended among them. They count against the upper limit.
-    int sent = 0;
-    /// Reserved by the live attempts.
+    /// Number of attempts that may be running, including those being ended. They count against the upper limit.
+    int sentCount = 0;
+    /// Resources reserved by the live attempts.
     Resources reserved;
 
-    bool hasWaiting() const;
-    bool isActive() const { return !this->live.empty() || this->hasWaiting(); }
+    bool hasWaitingJobs() const;
+    bool isActive() const { return !this->live.empty() || this->hasWaitingJobs(); }
 };
 
 } // namespace Greengage
--- a/modules/fleet/placement/systems/TeamTable.cpp
+++ b/modules/fleet/placement/systems/TeamTable.cpp
@@ -5,7 +5,7 @@
 
 namespace Greengage {
 
-bool TeamEntry::hasWaiting() const
+bool TeamEntry::hasWaitingJobs() const
 {
     return std::any_of(this->waiting.begin(), this->waiting.end(), [](const auto& queue) { return !queue.empty(); });
 }
@@ -57,7 +57,7 @@
 {
     auto& entry = this->entry(attempt.team);
     if (attempt.phase != AttemptPhase::Awaiting)
-        entry.sent++;
+        entry.sentCount++;
     if (attempt.phase == AttemptPhase::Ending)
         return;
     entry.live.insert(attempt.number);
@@ -69,7 +69,7 @@
 {
     auto& entry = this->entry(attempt.team);
     if (attempt.phase != AttemptPhase::Awaiting)
-        entry.sent--;
+        entry.sentCount--;
     if (attempt.phase == AttemptPhase::Ending)
         return;
     entry.live.erase(attempt.number);
--- a/modules/fleet/placement/systems/TeamTable.h
+++ b/modules/fleet/placement/systems/TeamTable.h
@@ -10,27 +10,27 @@
 
 struct Attempt;
 
-/// All teams, with how far each is from its share.
+/// All teams with their shares and usage.
 class TeamTable {
 public:
     void apply(const std::vector<Team>&);
     TeamEntry& entry(const TeamId&);
-    /// Whether the document in force has the team.
+    /// Whether the current document contains the team.
     bool isKnown(const TeamId&) const;
     std::map<TeamId, TeamEntry>& all() { return this->entries; }
 
-    /// Works out each team's share of the whole. With borrowing only the teams that have work count; call once a tick.
+    /// Computes each team's share of the total. With borrowing, only teams that have work count; call it once per tick.
     void refreshShares(const Resources& total, bool borrows);
 
-    /// The part of the whole that the team is entitled to.
+    /// The fraction of the total that the team is entitled to.
     double shareOf(const TeamEntry&) const;
-    /// The part of the whole that it has reserved.
+    /// The fraction of the total that the team has reserved.
     double usageOf(const TeamEntry& entry) const { return entry.reserved.dominantShareOf(this->total); }
     double usageWith(const TeamEntry&, const Resources& more) const;
-    /// The part of the whole that all teams have reserved.
+    /// The fraction of the total that all teams would have reserved with a further amount.
     double usageOfAllWith(const Resources& more) const { return (this->reserved + more).dominantShareOf(this->total); }
 
-    /// Counts an attempt in or out.
+    /// Adds or removes an attempt.
     void add(const Attempt&);
     void remove(const Attempt&);
 
--- a/modules/fleet/placement/systems/WorkerEntry.h
+++ b/modules/fleet/placement/systems/WorkerEntry.h
@@ -11,22 +11,22 @@
 
 namespace Greengage {
 
-/// A worker with what is reserved on it.
+/// A worker with the resources reserved on it.
 struct WorkerEntry {
     WorkerRecord record;
     bool isListed = true;
-    /// Reserved by attempts that may be running.
+    /// Resources reserved by attempts that may be running.
     Resources held;
-    /// Promised to attempts whose space is being freed.
+    /// Resources reserved for attempts that wait until capacity has been freed.
     Resources awaited;
     std::vector<std::uint64_t> attempts;
     WorkerHealth health = WorkerHealth::Healthy;
-    /// Jobs that it has failed since it last did one well.
+    /// Jobs that have failed on it since its last success.
     std::set<JobId> failedJobs;
-    bool hasDoneWell = false;
-    int timesSetAside = 0;
-    Deadline setAsideUntil;
-    /// Key under which the table has it in order of free processors.
+    bool hasSucceeded = false;
+    int quarantineCount = 0;
+    Deadline quarantinedUntil;
+    /// Its key in the table's index by free processors.
     double indexedFree = 0;
     bool isIndexed = false;
 
--- a/modules/fleet/placement/systems/WorkerHealth.h
+++ b/modules/fleet/placement/systems/WorkerHealth.h
@@ -2,12 +2,12 @@
 
 namespace Greengage {
 
-/// Whether a worker may be given work.
+/// Whether a worker may receive work.
 enum class WorkerHealth {
     Healthy,
-    /// It has failed what it was given and gets nothing.
-    SetAside,
-    /// It gets one task that may be repeated, to see whether it is well again.
+    /// Its attempts kept failing; it receives no work.
+    Quarantined,
+    /// It receives one idempotent task, to test whether it works again.
     Probing,
 };
 
--- a/modules/fleet/placement/systems/WorkerTable.cpp
+++ b/modules/fleet/placement/systems/WorkerTable.cpp
@@ -87,7 +87,7 @@
     this->reindex(worker);
 }
 
-void WorkerTable::hold(const Attempt& attempt)
+void WorkerTable::markHeld(const Attempt& attempt)
 {
     auto& worker = this->entries.at(attempt.worker);
     worker.awaited = worker.awaited - attempt.reserved;
@@ -134,14 +134,14 @@
         auto& worker = this->entries.at(id);
         return needed.fitsWithin(worker.free()) && accepts(worker) ? &worker : nullptr;
     };
-    int looked = 0;
+    int examined = 0;
     auto first = this->byFree.lower_bound({ needed.processors - 1e-6, WorkerId() });
-    for (auto candidate = first; candidate != this->byFree.end() && looked < maxCandidates; ++candidate, ++looked) {
+    for (auto candidate = first; candidate != this->byFree.end() && examined < maxCandidates; ++candidate, ++examined) {
         if (auto* worker = accept(candidate->second))
             return worker;
     }
-    looked = 0;
-    for (auto candidate = this->byFree.end(); candidate != first && looked < maxCandidates; ++looked) {
+    examined = 0;
+    for (auto candidate = this->byFree.end(); candidate != first && examined < maxCandidates; ++examined) {
         --candidate;
         if (auto* worker = accept(candidate->second))
             return worker;
--- a/modules/fleet/placement/systems/WorkerTable.h
+++ b/modules/fleet/placement/systems/WorkerTable.h
@@ -13,32 +13,33 @@
 
 struct Attempt;
 
-/// All workers, with those that may be given work in order of free processors.
+/// All workers, with an index of those that may receive work by free processors.
 class WorkerTable {
 public:
-    /// Takes over a list. Returns the workers that have booted since they were last listed.
+    /// Applies a list of workers. Returns those that have booted since they were last listed.
     std::vector<WorkerId> apply(const std::vector<WorkerRecord>&);
 
-    /// The entry, or null. After a change of anything but `held` and `awaited` by hand, call `reindex`.
+    /// The entry, or null. After changing anything in it but `held` and `awaited`, call `reindex`.
     WorkerEntry* find(const WorkerId&);
     std::unordered_map<WorkerId, WorkerEntry>& all() { return this->entries; }
     void reindex(WorkerEntry&);
 
-    /// Counts an attempt's reservation in or out, as promised while it is awaiting and as held otherwise.
+    /// Adds or removes an attempt's reservation: in `awaited` while the attempt is awaiting capacity, in `held`
+    /// otherwise.
     void add(const Attempt&);
     void remove(const Attempt&);
-    /// Counts the reservation of an attempt that was awaiting as held.
-    void hold(const Attempt&);
+    /// Moves the reservation of an attempt that was awaiting capacity from `awaited` to `held`.
+    void markHeld(const Attempt&);
 
-    /// What all workers that may be given work have.
+    /// Total capacity of the workers that may receive work.
     const Resources& total() const { return this->totalCapacity; }
-    /// Those that may be given work, by name.
+    /// The workers that may receive work, ordered by name.
     const std::set<WorkerId>& usable() const { return this->byName; }
-    /// The largest amount of each kind that any listed worker has.
+    /// The largest amount of each kind of resource that any listed worker has.
     Resources largest() const;
 
-    /// A worker that is accepted and has the amount free: with `tightly` one with few processors free, otherwise the
-    /// first by name. A few dozen candidates are looked at.
+    /// Finds a worker that is accepted and has the amount free: with `tightly` one with few free processors, examining
+    /// at most a few dozen candidates, otherwise the first by name.
     WorkerEntry* findFit(const Resources&, bool tightly, const std::function<bool(const WorkerEntry&)>& accepts);
 
 private:
--- a/modules/fleet/tests/placement/FakeJob.h
+++ b/modules/fleet/tests/placement/FakeJob.h
@@ -8,7 +8,7 @@
 
 namespace Greengage {
 
-/// A job as it really is, with what has become of it.
+/// A job's actual behaviour and its outcome.
 struct FakeJob {
     Job job;
     Resources actual;
@@ -16,7 +16,7 @@
     Instant submittedAt;
     std::optional<Instant> startedAt;
     bool neverStarts = false;
-    /// Whether a part of it has run that no checkpoint holds.
+    /// Whether part of it has run since its last checkpoint.
     bool hasUnsavedWork = false;
     std::optional<JobOutcome> outcome;
 };
--- a/modules/fleet/tests/placement/FakeSite.cpp
+++ b/modules/fleet/tests/placement/FakeSite.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr Milliseconds stepSpan(100);
+constexpr Milliseconds stepDuration(100);
 constexpr Seconds reportInterval(1);
 constexpr int maxReportLagMilliseconds = 600;
 constexpr int minCheckpointMilliseconds = 500;
@@ -85,7 +85,7 @@
 
 void FakeSite::step()
 {
-    this->now += stepSpan;
+    this->now += stepDuration;
     for (auto& task : this->tasks)
         this->advance(task);
     std::erase_if(this->tasks, [](const FakeTask& task) { return task.attempt == 0; });
@@ -153,7 +153,7 @@
         return;
     }
     if (!job.job.idempotent && job.hasUnsavedWork)
-        this->violate(start.job.string() + " has run in part and is started again");
+        this->reportViolation(start.job.string() + " has run in part and was started again");
     job.hasUnsavedWork = true;
     if (!job.startedAt)
         job.startedAt = this->now;
@@ -200,7 +200,7 @@
 {
     auto& job = this->jobs.at(ended.job);
     if (job.outcome)
-        this->violate(ended.job.string() + " ended twice");
+        this->reportViolation(ended.job.string() + " ended twice");
     job.outcome = ended.outcome;
     this->openJobs.erase(&job);
 }
@@ -252,15 +252,15 @@
         const auto& job = task.job->job;
         running[job.team]++;
         if (++copies[job.id] > 1 && !job.idempotent)
-            this->violate(job.id.string() + " runs twice at once");
+            this->reportViolation(job.id.string() + " runs twice at once");
     }
     for (const auto& [team, count] : running) {
         if (count > this->limits[team])
-            this->violate(team.string() + " runs " + std::to_string(count) + " tasks above its limit");
+            this->reportViolation(team.string() + " runs " + std::to_string(count) + " tasks above its limit");
     }
 }
 
-void FakeSite::violate(const std::string& what)
+void FakeSite::reportViolation(const std::string& what)
 {
     if (this->violations.size() < 5)
         this->violations.push_back(what);
--- a/modules/fleet/tests/placement/FakeSite.h
+++ b/modules/fleet/tests/placement/FakeSite.h
@@ -15,14 +15,14 @@
 
 namespace Greengage {
 
-/// Workers that run what a placement plane tells them, on a virtual clock, with lagging reports. It collects every
-/// broken promise as text.
+/// Fake workers that run the tasks of a placement plane on a virtual clock, with delayed reports. Records each violated
+/// invariant as text.
 class FakeSite {
 public:
     FakeSite(PlacementProfile, unsigned seed, int workerCount, Resources capacity);
 
     void setTeams(std::vector<Team>);
-    /// Submits a job that really needs `actual` and really runs for `runTime`.
+    /// Submits a job that actually needs `actual` and runs for `runTime`.
     FakeJob& submit(const Job&, const Resources& actual, Seconds runTime);
     void cancel(const std::vector<JobId>&);
     void run(Milliseconds);
@@ -34,23 +34,23 @@
     const std::map<JobId, FakeJob>& allJobs() const { return this->jobs; }
     const FakeJob& job(const std::string& id) const { return this->jobs.at(JobId(id)); }
     std::size_t runningCount() const { return this->tasks.size(); }
-    /// What the team's tasks really use, as a part of all workers.
+    /// The actual usage of the team's tasks, as a fraction of all workers' capacity.
     double usageOf(const TeamId&) const;
-    /// What each team's jobs that have not ended really need, running or not.
+    /// The actual needs of each team's jobs that have not ended, running or not.
     std::map<TeamId, Resources> demands() const;
     std::size_t openCount(const TeamId&, Priority) const;
-    /// How often the checks run, in steps.
+    /// Interval of the invariant checks, in steps.
     int checkInterval = 1;
     std::size_t taskCountOn(std::size_t index) const;
     bool allEnded() const;
     Instant instant() const { return this->now; }
-    const std::vector<std::string>& broken() const { return this->violations; }
+    const std::vector<std::string>& foundViolations() const { return this->violations; }
 
     int startCount = 0;
     int checkpointCount = 0;
     int failedStartCount = 0;
     int outOfMemoryCount = 0;
-    std::map<WorkerId, int> setAsideCounts;
+    std::map<WorkerId, int> quarantineCounts;
 
 private:
     void step();
@@ -60,14 +60,14 @@
     void carryOut(const AskAttempt&);
     void carryOut(const ThrottleTask&) { }
     void carryOut(const JobEnded&);
-    void carryOut(const WorkerSetAside& aside) { this->setAsideCounts[aside.worker]++; }
+    void carryOut(const WorkerQuarantined& quarantined) { this->quarantineCounts[quarantined.worker]++; }
     void advance(FakeTask&);
     void endTask(FakeTask&, AttemptStatus);
     void report(std::uint64_t attempt, AttemptStatus, const Resources&);
     bool isCut(std::size_t worker) const { return this->now < this->workers[worker].cutUntil; }
     std::size_t indexOf(const WorkerId& id) const { return this->workerIndex.at(id); }
     void check();
-    void violate(const std::string& what);
+    void reportViolation(const std::string& what);
 
     PlacementPlane plane;
     std::mt19937 random;
--- a/modules/fleet/tests/placement/FakeTask.h
+++ b/modules/fleet/tests/placement/FakeTask.h
@@ -9,14 +9,14 @@
 
 namespace Greengage {
 
-/// A task as it really is on a worker.
+/// A task running on a fake worker.
 struct FakeTask {
     std::uint64_t attempt = 0;
     FakeJob* job = nullptr;
     std::size_t worker = 0;
     Instant endsAt;
     Instant reportedAt;
-    /// When a checkpoint under way is complete; the largest instant if none is.
+    /// When the checkpoint in progress completes; the largest instant if there is none.
     Instant checkpointedAt = Instant::max();
 };
 
--- a/modules/fleet/tests/placement/FakeWorker.h
+++ b/modules/fleet/tests/placement/FakeWorker.h
@@ -5,11 +5,11 @@
 
 namespace Greengage {
 
-/// A worker as it really is.
+/// A fake worker.
 struct FakeWorker {
     WorkerRecord record;
     bool failsEverything = false;
-    /// Until then neither commands nor reports pass; its tasks run on.
+    /// Until then no commands or reports get through; its tasks keep running.
     Instant cutUntil = Instant::min();
 };
 
--- a/modules/fleet/tests/placement/PlacementTests.cpp
+++ b/modules/fleet/tests/placement/PlacementTests.cpp
@@ -38,9 +38,9 @@
     site.run(Seconds(5));
 }
 
-void expectNothingBroken(const FakeSite& site, unsigned seed)
+void expectNoViolations(const FakeSite& site, unsigned seed)
 {
-    for (const auto& text : site.broken())
+    for (const auto& text : site.foundViolations())
         BOOST_ERROR("seed " << seed << ": " << text);
 }
 
@@ -52,7 +52,7 @@
 {
     constexpr Milliseconds startBound(4200);
     for (unsigned seed = 1; seed <= 20; seed++) {
-        // With odd seeds the tasks in the way are the team's own, and it is at its upper limit.
+        // With odd seeds the running tasks belong to the same team, which is at its upper limit.
         const char* owner = seed % 2 == 0 ? "inventory" : "certificates";
         FakeSite site(PlacementProfile::yard(), seed, 50, brnoWorker);
         site.setTeams({ makeTeam("inventory", 1, 1000), makeTeam("certificates", 1, seed % 2 == 0 ? 1000 : 200) });
@@ -69,11 +69,11 @@
             BOOST_REQUIRE(job.startedAt.has_value());
             BOOST_TEST((*job.startedAt - job.submittedAt).count() <= Microseconds(startBound).count(), "seed " << seed);
         }
-        expectNothingBroken(site, seed);
+        expectNoViolations(site, seed);
     }
 }
 
-BOOST_AUTO_TEST_CASE(teamsComeToTheirSharesAndBorrowWhatIsFree)
+BOOST_AUTO_TEST_CASE(teamsReachTheirSharesAndBorrowFreeCapacity)
 {
     FakeSite site(PlacementProfile::yard(), 1, 50, brnoWorker);
     site.setTeams({ makeTeam("inventory", 1, 1000), makeTeam("plans", 3, 1000) });
@@ -85,7 +85,7 @@
     site.run(Seconds(60));
     BOOST_TEST(std::abs(site.usageOf(TeamId("plans")) - 0.75) < 0.05);
     BOOST_TEST(std::abs(site.usageOf(TeamId("inventory")) - 0.25) < 0.05);
-    expectNothingBroken(site, 1);
+    expectNoViolations(site, 1);
 }
 
 BOOST_AUTO_TEST_CASE(jobsThatCanNeverRunAreRefusedWithTheReason)
@@ -107,7 +107,7 @@
     BOOST_TEST(site.allEnded());
 }
 
-BOOST_AUTO_TEST_CASE(workersThatFailEverythingAreSetAsideAndProbed)
+BOOST_AUTO_TEST_CASE(workersThatFailEverythingAreQuarantinedAndProbed)
 {
     FakeSite site(PlacementProfile::workshop(), 1, 20, brnoWorker);
     site.setTeams({ makeTeam("a", 1, 1000) });
@@ -120,7 +120,7 @@
         site.submit(job, { 8, 16, 0 }, Seconds(20));
     }
     site.run(Seconds(60));
-    BOOST_TEST(site.setAsideCounts.size() == 2U, "the budget is a tenth of the workers");
+    BOOST_TEST(site.quarantineCounts.size() == 2U, "the budget is a tenth of the workers");
     for (std::size_t index = 0; index < 3; index++)
         site.worker(index).failsEverything = false;
     site.run(Seconds(600));
@@ -133,7 +133,7 @@
     BOOST_TEST(site.taskCountOn(0) + site.taskCountOn(1) > 0U);
 }
 
-BOOST_AUTO_TEST_CASE(learntSizesLetMoreRunThanDeclaredSizesWould)
+BOOST_AUTO_TEST_CASE(learnedSizesLetMoreTasksRunThanDeclaredSizes)
 {
     FakeSite site(PlacementProfile::workshop(), 1, 10, brnoWorker);
     site.setTeams({ makeTeam("a", 1, 1000) });
@@ -146,7 +146,7 @@
     BOOST_TEST(site.runningCount() == 80U);
 }
 
-BOOST_AUTO_TEST_CASE(drainedWorkersEmptyWithoutLosingWork)
+BOOST_AUTO_TEST_CASE(drainingWorkersFinishTheirTasksWithoutLosingWork)
 {
     FakeSite site(PlacementProfile::workshop(), 1, 10, brnoWorker);
     site.setTeams({ makeTeam("a", 1, 1000) });
@@ -158,10 +158,10 @@
     site.run(Seconds(10));
     BOOST_TEST(site.taskCountOn(busy) == 0U);
     BOOST_TEST(site.runningCount() == 20U);
-    expectNothingBroken(site, 1);
+    expectNoViolations(site, 1);
 }
 
-BOOST_AUTO_TEST_CASE(everyPromiseHoldsUnderFailures)
+BOOST_AUTO_TEST_CASE(everyInvariantHoldsUnderFailures)
 {
     for (unsigned seed = 1; seed <= 20; seed++) {
         std::mt19937 random(seed);
@@ -204,7 +204,7 @@
             site.drain(index, false);
         }
         site.run(Seconds(900));
-        expectNothingBroken(site, seed);
+        expectNoViolations(site, seed);
         BOOST_TEST(site.allEnded(), "seed " << seed);
         BOOST_TEST(site.runningCount() == 0U, "seed " << seed);
     }
