--- a/modules/core/checks/Assertion.cpp
+++ b/modules/core/checks/Assertion.cpp
@@ -5,9 +5,9 @@
 
 namespace Greengage {
 
-void reportBrokenInvariant(const char* condition, const char* file, int line)
+void reportInvariantViolation(const char* condition, const char* file, int line)
 {
-    std::fprintf(stderr, "event=broken_invariant condition=\"%s\" file=%s line=%d\n", condition, file, line);
+    std::fprintf(stderr, "event=invariant_violated condition=\"%s\" file=%s line=%d\n", condition, file, line);
     std::abort();
 }
 
--- a/modules/core/core.h
+++ b/modules/core/core.h
@@ -1,4 +1,4 @@
-// Purpose: the vocabulary that every other module uses: results, checks of invariants, clocks and deadlines, tables of
+// Purpose: the basic types that every other module uses: results, invariant checks, clocks and deadlines, tables of
 // enumerator names, key=value log lines, random numbers and digests.
 // Dependencies: spdlog, OpenSSL (libcrypto), Boost.Outcome.
 #pragma once
--- a/modules/core/errors/Result.h
+++ b/modules/core/errors/Result.h
@@ -7,8 +7,8 @@
 
 namespace Greengage {
 
-/// Either a value or the error of one layer. Reading the side that is absent ends the process, so callers test
-/// `hasValue` first or pass the error on with BOOST_OUTCOME_TRY.
+/// Either a value or an error. Accessing the alternative that is not present terminates the process, so callers check
+/// `has_value` first or propagate the error with BOOST_OUTCOME_TRY.
 template <typename Value, typename Error>
 using Result = BOOST_OUTCOME_V2_NAMESPACE::basic_result<Value, Error, BOOST_OUTCOME_V2_NAMESPACE::policy::terminate>;
 
--- a/modules/core/log/BoundedSink.h
+++ b/modules/core/log/BoundedSink.h
@@ -8,12 +8,12 @@
 
 namespace Greengage {
 
-/// Writes log lines to a file descriptor without ever waiting for its reader. Lines that the reader does not take, and
-/// informational lines beyond a rate, are left out and counted; a line says how many.
+/// Writes log lines to a file descriptor without blocking. Lines that the descriptor does not accept, and informational
+/// lines above a rate limit, are dropped and counted; a later line reports the count.
 class BoundedSink : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
 public:
-    /// Bounds what logging costs under load. A daemon that places tasks in a burst writes about half as many.
-    static constexpr std::uint32_t informationalLinesPerSecond = 1000;
+    /// Limits the cost of logging under load. A daemon that places a burst of tasks writes about half as many lines.
+    static constexpr std::uint32_t maxInformationalLinesPerSecond = 1000;
 
     explicit BoundedSink(int descriptor)
         : descriptor(descriptor)
@@ -26,12 +26,12 @@
 
 private:
     bool write(const char* data, std::size_t size) const;
-    void reportLeftOut();
+    void reportDroppedLines();
 
     int descriptor;
-    Deadline secondOver;
-    std::uint32_t linesInSecond = 0;
-    std::uint64_t leftOut = 0;
+    Deadline currentSecondEnd;
+    std::uint32_t linesInCurrentSecond = 0;
+    std::uint64_t droppedLines = 0;
 };
 
 } // namespace Greengage
--- a/modules/core/log/Log.h
+++ b/modules/core/log/Log.h
@@ -24,14 +24,14 @@
     } };
 };
 
-/// Sends log lines to standard output with a UTC time and a level, and drops those below `level`. Call it once, at
-/// start.
+/// Configures the process-wide logger, which writes lines with a UTC time and a level to standard output and drops
+/// lines below `level`. Call it once, at startup.
 void startLog(LogLevel level);
 
-/// Drops lines below another level from now on.
+/// Changes the lowest level that is written.
 void setLogLevel(LogLevel level);
 
-/// Writes one event.
+/// Writes one log line.
 void writeLog(LogLevel level, const LogLine& line);
 
 } // namespace Greengage
--- a/modules/core/log/LogLine.h
+++ b/modules/core/log/LogLine.h
@@ -6,13 +6,13 @@
 
 namespace Greengage {
 
-/// One event as a line of key=value pairs. A value with spaces, quotes, equals signs or control characters is quoted
-/// and escaped, so that a line is always one line and can be split by a program.
+/// One event as a line of key=value pairs. Values that contain spaces, quotes, equals signs or control characters are
+/// quoted and escaped, so that an event never spans several lines and a program can parse it.
 class LogLine {
 public:
     explicit LogLine(std::string_view event);
 
-    /// Adds one pair. The value is whatever fmt can print.
+    /// Adds one pair. The value may have any type that fmt can format.
     template <typename Value> LogLine&& add(std::string_view key, const Value& value) &&
     {
         this->append(key, fmt::format("{}", value));
--- a/modules/core/tests/CoreTests.cpp
+++ b/modules/core/tests/CoreTests.cpp
@@ -5,20 +5,20 @@
 
 BOOST_AUTO_TEST_SUITE(Core)
 
-BOOST_AUTO_TEST_CASE(logLineQuotesWhatWouldBreakALine)
+BOOST_AUTO_TEST_CASE(logLineQuotesAndEscapesSpecialCharacters)
 {
     auto line = LogLine("refused").add("reason", "no \"key\"\n").add("count", 3).add("empty", "");
     BOOST_TEST(line.text() == "event=refused reason=\"no \\\"key\\\"\\x0a\" count=3 empty=\"\"");
 }
 
-BOOST_AUTO_TEST_CASE(enumNamesGoBothWays)
+BOOST_AUTO_TEST_CASE(enumNamesConvertInBothDirections)
 {
     BOOST_TEST(nameOf(LogLevel::Warning) == "warning");
     BOOST_TEST((enumFromName<LogLevel>("error") == LogLevel::Error));
     BOOST_TEST(!enumFromName<LogLevel>("loud").has_value());
 }
 
-BOOST_AUTO_TEST_CASE(deadlinePassesAtItsInstant)
+BOOST_AUTO_TEST_CASE(deadlineHasPassedAtItsInstant)
 {
     ManualClock clock;
     auto deadline = Deadline::after(clock.current(), Milliseconds(10));
--- a/modules/core/tests/LogTests.cpp
+++ b/modules/core/tests/LogTests.cpp
@@ -43,31 +43,31 @@
 
 BOOST_FIXTURE_TEST_SUITE(Logging, PipeFixture)
 
-BOOST_AUTO_TEST_CASE(aReaderThatStopsReadingDoesNotStallTheWriter)
+BOOST_AUTO_TEST_CASE(writerDoesNotBlockOnAReaderThatStopsReading)
 {
     BoundedSink sink(this->ends[1]);
     std::string line(1000, 'x');
-    // Far more than a pipe holds; the test ends only if no write waits.
+    // Far more than the pipe's buffer holds, so a blocking write would hang the test.
     for (int count = 0; count < 5000; ++count)
         PipeFixture::log(sink, spdlog::level::warn, line);
     this->drain();
     PipeFixture::log(sink, spdlog::level::warn, "after");
     std::string text = this->drain();
-    BOOST_TEST(text.find("event=log_lines_left_out count=") != std::string::npos);
+    BOOST_TEST(text.find("event=log_lines_dropped count=") != std::string::npos);
     BOOST_TEST(text.find("after") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(informationalLinesAreBoundedAndWarningsAreNot)
+BOOST_AUTO_TEST_CASE(rateLimitAppliesToInformationalLinesOnly)
 {
     BoundedSink sink(this->ends[1]);
     std::size_t kept = 0;
-    for (std::uint32_t count = 0; count < 3 * BoundedSink::informationalLinesPerSecond; ++count) {
+    for (std::uint32_t count = 0; count < 3 * BoundedSink::maxInformationalLinesPerSecond; ++count) {
         PipeFixture::log(sink, spdlog::level::info, "usual");
         std::string text = this->drain();
         kept += text.find("usual") != std::string::npos ? 1 : 0;
     }
-    // A second may turn while the test runs.
-    BOOST_TEST(kept <= 2 * BoundedSink::informationalLinesPerSecond);
+    // The test may span two of the sink's one-second windows, each with its own limit.
+    BOOST_TEST(kept <= 2 * BoundedSink::maxInformationalLinesPerSecond);
     PipeFixture::log(sink, spdlog::level::warn, "refused");
     BOOST_TEST(this->drain().find("refused") != std::string::npos);
 }
--- a/modules/core/text/EnumNames.h
+++ b/modules/core/text/EnumNames.h
@@ -8,8 +8,8 @@
 
 namespace Greengage {
 
-/// The table of names of one `enum class`. Specialise it beside the enumeration with a static constexpr member `table`
-/// of `std::array<std::pair<Enum, std::string_view>, N>`.
+/// The table of enumerator names of one `enum class`. Specialise it next to the enumeration with a static constexpr
+/// member `table` of type `std::array<std::pair<Enum, std::string_view>, N>`.
 template <typename Enum> struct EnumNames;
 
 /// An enumeration that has a table of names.
@@ -19,7 +19,7 @@
     EnumNames<Enum>::table.size();
 };
 
-/// The name of an enumerator, or "?" for a value outside the table.
+/// Returns the name of an enumerator, or "?" for a value that is not in the table.
 template <NamedEnum Enum> constexpr std::string_view nameOf(Enum value)
 {
     for (const auto& [enumerator, name] : EnumNames<Enum>::table) {
@@ -29,7 +29,7 @@
     return "?";
 }
 
-/// The enumerator with the given name, or nothing.
+/// Returns the enumerator with the given name, or nullopt if there is none.
 template <NamedEnum Enum> constexpr std::optional<Enum> enumFromName(std::string_view text)
 {
     for (const auto& [enumerator, name] : EnumNames<Enum>::table) {
--- a/modules/core/text/Identifier.h
+++ b/modules/core/text/Identifier.h
@@ -8,7 +8,7 @@
 
 namespace Greengage {
 
-/// A name that is checked by the compiler to be of one kind: a team's name cannot be passed where a pool's is expected.
+/// A strongly typed name: the compiler rejects, for example, a team's name where a pool's name is expected.
 template <typename Tag> class Identifier {
 public:
     Identifier() = default;
@@ -43,7 +43,7 @@
 using JobId = Identifier<struct JobTag>;
 using WorkerId = Identifier<struct WorkerTag>;
 
-/// One start of one daemon. A restarted daemon has the same DaemonId and another IncarnationId.
+/// Identifies one run of a daemon's process. A restarted daemon keeps its DaemonId and gets a new IncarnationId.
 using IncarnationId = Identifier<struct IncarnationTag>;
 
 } // namespace Greengage
--- a/modules/core/time/BootClock.h
+++ b/modules/core/time/BootClock.h
@@ -4,8 +4,9 @@
 
 namespace Greengage {
 
-/// The kernel's boot-time clock. It never steps back, and it goes on while the process is stopped and while the machine
-/// is suspended, so a deadline that passed during a pause is seen as passed on waking.
+/// The kernel's boot-time clock (CLOCK_BOOTTIME). It never goes backwards and keeps running while the process is
+/// stopped or the machine is suspended, so a deadline that expires during a pause counts as passed when the process
+/// resumes.
 class BootClock {
 public:
     using rep = std::chrono::microseconds::rep;
--- a/modules/core/time/Deadline.h
+++ b/modules/core/time/Deadline.h
@@ -4,7 +4,7 @@
 
 namespace Greengage {
 
-/// The last instant at which something may still be done or believed.
+/// The instant from which an action is no longer allowed, or a piece of information no longer valid.
 class Deadline {
 public:
     /// A deadline that has always passed.
@@ -21,7 +21,7 @@
     constexpr bool hasPassed(Instant now) const { return now >= this->instant; }
     constexpr Instant at() const { return this->instant; }
 
-    /// Time left, never below zero.
+    /// Returns the time left until the deadline, or zero if it has passed.
     constexpr Microseconds remaining(Instant now) const
     {
         if (this->hasPassed(now))
--- a/modules/core/time/Instant.h
+++ b/modules/core/time/Instant.h
@@ -6,15 +6,15 @@
 
 namespace Greengage {
 
-/// A point on this machine's boot clock, in microseconds. It has no meaning in another process: messages carry ages or
-/// remaining times instead.
+/// A point in time on this machine's boot clock, in microseconds. It must not be sent to another process: messages
+/// carry ages or remaining times instead.
 using Instant = std::chrono::time_point<BootClock, std::chrono::microseconds>;
 
 using Microseconds = std::chrono::microseconds;
 using Milliseconds = std::chrono::milliseconds;
 using Seconds = std::chrono::seconds;
 
-/// Anything that tells the current instant. Production code passes a BootClock, tests a ManualClock.
+/// A clock that returns the current instant: BootClock in production code, ManualClock in tests.
 template <typename Type>
 concept ClockSource = requires(const Type& clock)
 {
--- a/modules/core/time/ManualClock.h
+++ b/modules/core/time/ManualClock.h
@@ -4,7 +4,7 @@
 
 namespace Greengage {
 
-/// A virtual clock for tests and measurements. It moves only when told to.
+/// A virtual clock for tests and measurements. Its time changes only through `advance`.
 class ManualClock {
 public:
     Instant current() const { return this->instant; }
