--- a/modules/config/acceptance/AcceptanceOutcome.h
+++ b/modules/config/acceptance/AcceptanceOutcome.h
@@ -9,7 +9,7 @@
 
 namespace Greengage {
 
-/// What becomes of a submission.
+/// The result of evaluating a submission.
 using AcceptanceOutcome = std::variant<AcceptedChange, AlreadyInForce, SectionConflicts, ConfigErrors>;
 
 } // namespace Greengage
--- a/modules/config/acceptance/AcceptedChange.h
+++ b/modules/config/acceptance/AcceptedChange.h
@@ -4,7 +4,7 @@
 
 namespace Greengage {
 
-/// The submission can be put in force: this record is to be written over the one that it was judged against.
+/// The submission is valid: `record` is to replace the record that the submission was evaluated against.
 struct AcceptedChange {
     DocumentRecord record;
 };
--- a/modules/config/acceptance/AlreadyInForce.h
+++ b/modules/config/acceptance/AlreadyInForce.h
@@ -4,9 +4,9 @@
 
 namespace Greengage {
 
-/// The submission's change has been made before, or the submission would change nothing.
+/// The submission's change was accepted earlier, or the submission would change nothing.
 struct AlreadyInForce {
-    /// Revision that holds it.
+    /// Revision that contains the change.
     std::uint64_t revision = 0;
 };
 
--- a/modules/config/acceptance/DocumentAcceptance.cpp
+++ b/modules/config/acceptance/DocumentAcceptance.cpp
@@ -12,9 +12,9 @@
 
 namespace {
 
-ConfigErrors oneError(std::string message) { return { { { {}, {}, 0, std::move(message) } } }; }
+ConfigErrors singleError(std::string message) { return { { { {}, {}, 0, std::move(message) } } }; }
 
-bool isChangeId(std::string_view text)
+bool isValidChangeId(std::string_view text)
 {
     auto isIdCharacter = [](char character) {
         return (character >= 'a' && character <= 'z') || (character >= 'A' && character <= 'Z')
@@ -23,23 +23,24 @@
     return !text.empty() && text.size() <= DocumentAcceptance::maxIdBytes && std::ranges::all_of(text, isIdCharacter);
 }
 
-bool isAuthor(std::string_view text)
+bool isValidAuthor(std::string_view text)
 {
     auto isControl = [](unsigned char character) { return character < ' ' || character == 0x7f; };
     return !text.empty() && text.size() <= DocumentAcceptance::maxIdBytes && std::ranges::none_of(text, isControl)
-        && isPlainUtf8(text);
+        && isBmpUtf8(text);
 }
 
 ConfigErrors checkSubmission(const DocumentRecord& current, const DocumentSubmission& submission)
 {
     ConfigErrors errors;
-    if (!isChangeId(submission.changeId))
+    if (!isValidChangeId(submission.changeId))
         errors.list.push_back({ {}, {}, 0, "the change id must be 1 to 64 letters, digits, '-' or '_'" });
-    if (!isAuthor(submission.author))
+    if (!isValidAuthor(submission.author))
         errors.list.push_back({ {}, {}, 0, "the author must be 1 to 64 bytes of printable text" });
     if (submission.baseRevision > current.revision) {
         errors.list.push_back({ {}, {}, 0,
-            fmt::format("the text is based on revision {}, but the newest is {}; get it anew with \"show\"",
+            fmt::format(
+                "the text is based on revision {}, but the newest revision is {}; get the newest text with \"show\"",
                 submission.baseRevision, current.revision) });
     }
     auto parsed = DocumentParser().parse(submission.text);
@@ -54,22 +55,22 @@
     return found == record.changes.end() ? nullptr : &*found;
 }
 
-bool isBaseKnown(const DocumentRecord& current, std::uint64_t revision)
+bool isBaseRetained(const DocumentRecord& current, std::uint64_t revision)
 {
     return revision == 0 || revision == current.revision
         || std::ranges::find(current.changes, revision, &ChangeSummary::revision) != current.changes.end();
 }
 
-SectionConflicts nameConflicts(
+SectionConflicts describeConflicts(
     const DocumentRecord& current, std::uint64_t baseRevision, const std::vector<std::string>& sections)
 {
     SectionConflicts conflicts;
     for (const auto& section : sections) {
-        auto touches = [&](const ChangeSummary& change) {
+        auto changesSection = [&](const ChangeSummary& change) {
             return change.revision > baseRevision
                 && std::ranges::find(change.sections, section) != change.sections.end();
         };
-        auto change = std::ranges::find_if(current.changes, touches);
+        auto change = std::ranges::find_if(current.changes, changesSection);
         if (change == current.changes.end())
             conflicts.list.push_back({ section, {}, 0 });
         else
@@ -78,8 +79,8 @@
     return conflicts;
 }
 
-/// Drops the oldest changes until the record fits; at least `minChanges` stay.
-void shortenChanges(DocumentRecord& record)
+/// Drops the oldest changes until the record is within both limits, but keeps at least `minChanges`.
+void dropOldChanges(DocumentRecord& record)
 {
     if (record.changes.size() > DocumentAcceptance::maxChanges)
         record.changes.resize(DocumentAcceptance::maxChanges);
@@ -98,21 +99,22 @@
         changedSections(current.text, text) });
     std::ranges::copy(current.changes, std::back_inserter(record.changes));
     record.text = std::move(text);
-    shortenChanges(record);
+    dropOldChanges(record);
     auto bytes = DocumentCodec::encode(record).size();
     if (bytes > DocumentAcceptance::maxRecordBytes) {
-        return oneError(fmt::format("the document with its newest changes takes {} bytes in the store, which holds {}; "
-                                    "shorten it",
-            bytes, DocumentAcceptance::maxRecordBytes));
+        return singleError(
+            fmt::format("the document with its newest changes takes {} bytes in the store, but at most {} are "
+                        "allowed; shorten the document",
+                bytes, DocumentAcceptance::maxRecordBytes));
     }
     return accepted;
 }
 
-ConfigErrors explainMerge(ConfigErrors errors, std::uint64_t revision)
+ConfigErrors explainMergeErrors(ConfigErrors errors, std::uint64_t revision)
 {
     for (auto& error : errors.list)
-        error.message
-            = fmt::format("combined with revision {}, which others have made meanwhile: {}", revision, error.message);
+        error.message = fmt::format(
+            "after merging with revision {}, which others submitted meanwhile: {}", revision, error.message);
     return errors;
 }
 
@@ -132,15 +134,16 @@
 AcceptanceOutcome DocumentAcceptance::judge(const DocumentRecord& current, std::string_view baseText,
     const DocumentSubmission& submission, std::int64_t nowUnixMilliseconds)
 {
-    if (const auto* made = findChange(current, submission.changeId))
-        return AlreadyInForce { made->revision };
+    if (const auto* earlier = findChange(current, submission.changeId))
+        return AlreadyInForce { earlier->revision };
     auto errors = checkSubmission(current, submission);
     if (!errors.isEmpty())
         return errors;
-    if (!isBaseKnown(current, submission.baseRevision)) {
-        return oneError(fmt::format("the text is based on revision {}, which is older than the changes that are kept; "
-                                    "get the newest with \"show\" and edit it",
-            submission.baseRevision));
+    if (!isBaseRetained(current, submission.baseRevision)) {
+        return singleError(
+            fmt::format("the text is based on revision {}, which is older than the changes that are kept; "
+                        "get the newest text with \"show\" and edit that",
+                submission.baseRevision));
     }
     if (submission.baseRevision == current.revision)
         baseText = current.text;
@@ -148,12 +151,12 @@
         baseText = {};
     auto merge = SectionMerge::merge(baseText, submission.text, current.text);
     if (!merge.conflicts.empty())
-        return nameConflicts(current, submission.baseRevision, merge.conflicts);
+        return describeConflicts(current, submission.baseRevision, merge.conflicts);
     if (merge.text == current.text)
         return AlreadyInForce { current.revision };
     auto merged = DocumentParser().parse(merge.text);
     if (merged.has_error())
-        return explainMerge(std::move(merged.error()), current.revision);
+        return explainMergeErrors(std::move(merged.error()), current.revision);
     return acceptText(current, submission, std::move(merge.text), nowUnixMilliseconds);
 }
 
--- a/modules/config/acceptance/DocumentAcceptance.h
+++ b/modules/config/acceptance/DocumentAcceptance.h
@@ -11,26 +11,27 @@
 
 namespace Greengage {
 
-/// Judges submissions against the record in force. It reads and writes nothing: the caller reads the record, fetches
-/// the base text where `baseChange` names one, calls `judge`, writes the new text's history and then the record by
-/// compare-and-swap, and judges anew against the newer record if that write met a conflict.
+/// Decides whether a submission can be accepted on top of the current record. It performs no input or output: the
+/// caller reads the record, fetches the base text if `baseChange` returns a change id, calls `judge`, and
+/// writes first the history entry of the new text and then the record, by compare-and-swap. If that write fails because
+/// the record has changed, the caller calls `judge` again with the newer record.
 class DocumentAcceptance {
 public:
-    /// How many of the newest changes a record keeps.
+    /// Maximum number of changes that a record lists; the oldest are dropped.
     static constexpr std::size_t maxChanges = 32;
-    /// How many it keeps at least, whatever their size.
+    /// Minimum number of changes that a record lists, whatever their size.
     static constexpr std::size_t minChanges = 8;
-    /// Longest encoded record, in bytes; below the megabyte that a value of the store may have.
+    /// Maximum size of the encoded record in bytes. It is below the store's limit of one megabyte a value.
     static constexpr std::size_t maxRecordBytes = 1'000'000;
-    /// Longest change id and author, in bytes.
+    /// Maximum length of a change id and of an author, in bytes.
     static constexpr std::size_t maxIdBytes = 64;
 
-    /// The id of the change whose stored text is the submission's base, where `judge` needs it: the base is neither the
-    /// revision in force, nor empty, nor older than the line of changes.
+    /// Returns the id of the change whose stored text `judge` needs as the base text. Returns nullopt if none is
+    /// needed: the base is the current revision, is empty, or is older than the changes listed in the record.
     static std::optional<std::string> baseChange(const DocumentRecord& current, const DocumentSubmission&);
 
-    /// `baseText` is the text of the submission's base revision if `baseChange` names a change; otherwise it is not
-    /// looked at. `nowUnixMilliseconds` is written into the history.
+    /// Evaluates a submission. `baseText` is the text of its base revision if `baseChange` returns a change id, and is
+    /// ignored otherwise. `nowUnixMilliseconds` becomes the acceptance time of the change.
     static AcceptanceOutcome judge(const DocumentRecord& current, std::string_view baseText, const DocumentSubmission&,
         std::int64_t nowUnixMilliseconds);
 };
--- a/modules/config/acceptance/DocumentSubmission.h
+++ b/modules/config/acceptance/DocumentSubmission.h
@@ -5,13 +5,13 @@
 
 namespace Greengage {
 
-/// A text that an operator asks to put in force.
+/// A new text of the document that an operator submits.
 struct DocumentSubmission {
-    /// Chosen at random, once for each change. Submitting it again, through any daemon, makes the change at most once.
+    /// Random id of the change. Submissions with the same id, through any daemon, apply the change at most once.
     std::string changeId;
-    /// Who submits, as history and conflicts name them.
+    /// Name of the submitter, as the history and conflict reports show it.
     std::string author;
-    /// Revision that the text was edited from; 0 for a text written from nothing.
+    /// Revision on which the text is based; 0 if it is not based on an earlier text.
     std::uint64_t baseRevision = 0;
     std::string text;
 };
--- a/modules/config/acceptance/SectionConflict.h
+++ b/modules/config/acceptance/SectionConflict.h
@@ -5,12 +5,12 @@
 
 namespace Greengage {
 
-/// A section that a submission changes and that another operator has changed differently since its base revision.
+/// A section that a submission changes and that another change has altered differently since the base revision.
 struct SectionConflict {
     std::string section;
-    /// Author of the newest change of the section; empty if the line of changes does not reach back to it.
+    /// Author of the newest change to the section; empty if the record no longer lists that change.
     std::string changedBy;
-    /// Revision that this change made; 0 with an empty author.
+    /// Revision created by that change; 0 if the author is empty.
     std::uint64_t revision = 0;
 
     friend bool operator==(const SectionConflict&, const SectionConflict&) = default;
--- a/modules/config/acceptance/SectionConflicts.h
+++ b/modules/config/acceptance/SectionConflicts.h
@@ -6,7 +6,7 @@
 
 namespace Greengage {
 
-/// The submission collides with changes by others; nothing of it is put in force.
+/// The submission conflicts with changes by others, so none of it is applied.
 struct SectionConflicts {
     std::vector<SectionConflict> list;
 };
--- a/modules/config/admin/AdminCodec.cpp
+++ b/modules/config/admin/AdminCodec.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// The value that was read, unless reading it met an error.
-template <typename Value> Result<Value, CodecError> valueOr(Value value, const CodecError& error)
+/// Returns the decoded value, or the error if decoding it failed.
+template <typename Value> Result<Value, CodecError> valueOrError(Value value, const CodecError& error)
 {
     if (!error.message.empty())
         return error;
@@ -35,8 +35,10 @@
     DocumentSubmission submission { reader.text("changeId"), reader.text("author"), reader.count("baseRevision"),
         reader.text("text") };
     if (error.message.empty() && json.size() != 4)
-        return CodecError { "a submission has no members but changeId, author, baseRevision and text" };
-    return valueOr(std::move(submission), error);
+        return CodecError {
+            "a submission must have the members changeId, author, baseRevision and text, and no others"
+        };
+    return valueOrError(std::move(submission), error);
 }
 
 std::string AdminCodec::encodeAnswer(const ApplyAnswer& answer)
@@ -56,7 +58,7 @@
     CodecError error;
     MemberReader reader(json, error);
     ApplyAnswer answer { reader.count("revision"), reader.flag("inForce"), reader.texts("behind") };
-    return valueOr(std::move(answer), error);
+    return valueOrError(std::move(answer), error);
 }
 
 std::string AdminCodec::encodeConflicts(const SectionConflicts& conflicts)
@@ -83,7 +85,7 @@
         auto inner = reader.inner(entry);
         conflicts.list.push_back({ inner.text("section"), inner.text("changedBy"), inner.count("revision") });
     }
-    return valueOr(std::move(conflicts), error);
+    return valueOrError(std::move(conflicts), error);
 }
 
 std::string AdminCodec::encodeErrors(const ConfigErrors& errors)
@@ -112,7 +114,7 @@
         errors.list.push_back(
             { inner.text("section"), inner.text("key"), inner.integer("line"), inner.text("message") });
     }
-    return valueOr(std::move(errors), error);
+    return valueOrError(std::move(errors), error);
 }
 
 } // namespace Greengage
--- a/modules/config/admin/AdminCodec.h
+++ b/modules/config/admin/AdminCodec.h
@@ -12,8 +12,9 @@
 
 namespace Greengage {
 
-/// The JSON bodies of the operators' protocol that carry submissions and refusals. Decoding refuses missing and
-/// mistyped members; members that it does not know are passed over in answers, so that a newer daemon can say more.
+/// Encodes and decodes the JSON bodies of submissions and of the daemon's answers to them. Decoding rejects missing and
+/// mistyped members. Unknown members are ignored in answers, so that a newer daemon can add members, and rejected in
+/// submissions.
 class AdminCodec {
 public:
     static std::string encodeSubmission(const DocumentSubmission&);
--- a/modules/config/admin/DaemonStatus.h
+++ b/modules/config/admin/DaemonStatus.h
@@ -6,13 +6,13 @@
 
 namespace Greengage {
 
-/// One daemon, as the daemon that was asked knows it.
+/// One daemon, as seen by the daemon that answers the status request.
 struct DaemonStatus {
     DaemonId daemon;
     ZoneId zone;
-    /// Revision of the document that it has reported as applied.
+    /// Revision of the document that the daemon has reported as applied.
     std::uint64_t revision = 0;
-    /// How long ago it was last heard, in milliseconds; 0 for the daemon that was asked.
+    /// Milliseconds since its last message; 0 for the daemon that answers.
     std::int64_t heardMillisecondsAgo = 0;
 };
 
--- a/modules/config/admin/EndpointStatus.h
+++ b/modules/config/admin/EndpointStatus.h
@@ -6,13 +6,13 @@
 
 namespace Greengage {
 
-/// One endpoint, as the daemon that was asked uses it.
+/// One endpoint, as seen by the daemon that answers the status request.
 struct EndpointStatus {
     VmId vm;
     ServiceId service;
-    /// Whether it gets work, and why not, in one word such as "live", "leaving" or "silent".
+    /// Whether the endpoint receives requests, and if not why, as one word such as "live", "leaving" or "silent".
     std::string state;
-    /// Requests that the daemon has sent it and that have not ended.
+    /// Number of requests that the daemon has sent to the endpoint and that have not ended.
     int running = 0;
 };
 
--- a/modules/config/admin/StatusCodec.h
+++ b/modules/config/admin/StatusCodec.h
@@ -9,8 +9,8 @@
 
 namespace Greengage {
 
-/// The JSON of status reports. Every list and member is written; decoding refuses missing and mistyped members and
-/// passes over those that it does not know:
+/// Encodes and decodes status reports as JSON. Every member is written, also empty lists. Decoding rejects missing and
+/// mistyped members and ignores unknown ones:
 /// {"daemon","revision","inForceRevision","storeReachable","fresh",
 ///  "daemons":[{"daemon","zone","revision","heardMillisecondsAgo"}],
 ///  "waves":[{"wave","state","remaining","done","stuck":[vm]}], "endpoints":[{"vm","service","state","running"}]}
--- a/modules/config/admin/StatusReport.h
+++ b/modules/config/admin/StatusReport.h
@@ -10,17 +10,18 @@
 
 namespace Greengage {
 
-/// What a daemon answers to GET /v1/status.
+/// A daemon's answer to GET /v1/status.
 struct StatusReport {
-    /// The daemon that was asked.
+    /// The daemon that answers.
     DaemonId daemon;
-    /// Newest revision of the document that it has applied.
+    /// Newest revision of the document that this daemon has applied.
     std::uint64_t revision = 0;
-    /// Newest revision that every daemon has applied, or can no longer act without.
+    /// Newest revision that is in force everywhere: each daemon either has applied it or can no longer act on an older
+    /// one.
     std::uint64_t inForceRevision = 0;
-    /// Whether the store has answered it of late.
+    /// Whether the store has answered this daemon recently.
     bool storeReachable = false;
-    /// Whether what it knows is new enough to serve queues that need a key.
+    /// Whether its configuration is recent enough to serve queues that require a key.
     bool fresh = false;
     std::vector<DaemonStatus> daemons;
     std::vector<WaveStatus> waves;
--- a/modules/config/admin/WaveStatus.h
+++ b/modules/config/admin/WaveStatus.h
@@ -7,14 +7,14 @@
 
 namespace Greengage {
 
-/// How far a maintenance wave has come.
+/// Progress of a maintenance wave.
 struct WaveStatus {
     WaveId wave;
     /// Name of the wave's state, such as "running".
     std::string state;
     int remaining = 0;
     int done = 0;
-    /// VMs that would not drain in time.
+    /// VMs that did not drain within the wave's drain timeout.
     std::vector<VmId> stuck;
 };
 
--- a/modules/config/config.h
+++ b/modules/config/config.h
@@ -1,4 +1,5 @@
-// Purpose: the operators' document (model, parser, checks, merge, history) and the settings of the daemon.
+// Purpose: the operators' document (model, parser, validation, merge, change history), its JSON codecs, access keys and
+// the daemon's settings.
 // Dependencies: core, inih, jsoncpp.
 #pragma once
 
@@ -14,8 +15,8 @@
 #include <config/json/JsonText.h>
 #include <config/keys/GeneratedKey.h>
 #include <config/keys/KeyGenerator.h>
-#include <config/keys/KeyHolder.h>
 #include <config/keys/KeyVerifier.h>
+#include <config/keys/VerifiedKey.h>
 #include <config/merge/DocumentDiff.h>
 #include <config/merge/SectionMerge.h>
 #include <config/merge/TextBlocks.h>
--- a/modules/config/document/DocumentBuilder.cpp
+++ b/modules/config/document/DocumentBuilder.cpp
@@ -15,7 +15,7 @@
 constexpr std::size_t minSaltDigits = 16;
 constexpr std::size_t maxSaltDigits = 128;
 constexpr std::size_t digestDigits = 64;
-constexpr std::string_view kinds = "service, pool, queue, team, key or wave";
+constexpr std::string_view sectionKinds = "service, pool, queue, team, key or wave";
 
 } // namespace
 
@@ -36,27 +36,27 @@
     auto name = space == std::string::npos ? std::string() : section.header.substr(space + 1);
     auto adder = adders.find(kind);
     if (adder == adders.end()) {
-        reader.report(
-            {}, section.line, fmt::format("unknown kind of section; use [<kind> <name>], the kind being {}", kinds));
+        reader.report({}, section.line,
+            fmt::format("unknown kind of section; expected [<kind> <name>], where <kind> is {}", sectionKinds));
         return;
     }
     if (!SectionReader::isName(name)) {
-        reader.report({}, section.line, fmt::format("use [{} <name>]; {}", kind, SectionReader::nameRule()));
+        reader.report({}, section.line, fmt::format("expected [{} <name>]; {}", kind, SectionReader::nameRule()));
         return;
     }
-    if (!this->claimHeader(section))
+    if (!this->registerHeader(section))
         return;
     this->currentHeader = section.header;
     (this->*adder->second)(reader, std::move(name), section.line);
     reader.finish();
 }
 
-bool DocumentBuilder::claimHeader(const IniSection& section)
+bool DocumentBuilder::registerHeader(const IniSection& section)
 {
-    auto [earlier, isNew] = this->headers.emplace(section.header, section.line);
+    auto [earlier, isNew] = this->headerLines.emplace(section.header, section.line);
     if (!isNew) {
         this->errors.list.push_back({ section.header, {}, section.line,
-            fmt::format("the section stands twice, first on line {}; merge the two or rename one", earlier->second) });
+            fmt::format("the section appears twice, first on line {}; merge the two or rename one", earlier->second) });
     }
     return isNew;
 }
@@ -85,13 +85,14 @@
     pool.line = line;
     pool.owner = reader.text("owner");
     pool.service = reader.identifier<ServiceId>("service", false);
-    this->refer(reader, "service", pool.service.string(), "service");
+    this->addReference(reader, "service", pool.service.string(), "service");
     for (const auto& vm : reader.vmIds("vms")) {
-        Reference place { vm.value, this->currentHeader, "vms", vm.line };
-        auto [earlier, isNew] = this->poolOfVm.emplace(vm.value, place);
+        Reference location { vm.value, this->currentHeader, "vms", vm.line };
+        auto [earlier, isNew] = this->poolReferences.emplace(vm.value, location);
         if (!isNew) {
             reader.report("vms", vm.line,
-                fmt::format("VM \"{}\" stands in [{}] on line {} as well; a VM belongs to exactly one pool, once",
+                fmt::format("VM \"{}\" is already listed in [{}] on line {}; each VM belongs to exactly one pool and "
+                            "is listed once",
                     vm.value, earlier->second.section, earlier->second.line));
             continue;
         }
@@ -107,7 +108,7 @@
     queue.line = line;
     queue.owner = reader.text("owner");
     queue.service = reader.identifier<ServiceId>("service");
-    this->refer(reader, "service", queue.service.string(), "service");
+    this->addReference(reader, "service", queue.service.string(), "service");
     queue.access = reader.choice<QueueAccess>("access", queue.access);
     queue.priority = reader.choice<Priority>("priority", queue.priority);
     queue.idempotent = reader.yesOrNo("idempotent", queue.idempotent);
@@ -136,7 +137,7 @@
     key.line = line;
     key.owner = reader.text("owner");
     key.team = reader.identifier<TeamId>("team");
-    this->refer(reader, "team", key.team.string(), "team");
+    this->addReference(reader, "team", key.team.string(), "team");
     key.salt = reader.hexDigits("salt", minSaltDigits, maxSaltDigits);
     key.digest = reader.hexDigits("digest", digestDigits, digestDigits);
     this->document.keys.push_back(std::move(key));
@@ -149,13 +150,13 @@
     wave.line = line;
     wave.owner = reader.text("owner");
     for (const auto& pool : reader.names("pools")) {
-        this->refer(reader, "pool", pool.value, "pools", pool.line);
+        this->addReference(reader, "pool", pool.value, "pools", pool.line);
         if (std::ranges::find(wave.pools, PoolId(pool.value)) != wave.pools.end())
-            reader.report("pools", pool.line, fmt::format("pool \"{}\" is named twice; name it once", pool.value));
+            reader.report("pools", pool.line, fmt::format("pool \"{}\" is listed twice; remove one", pool.value));
         wave.pools.push_back(PoolId(pool.value));
     }
     if (wave.pools.empty())
-        reader.report("pools", reader.lineOf("pools"), "names no pool; name at least one");
+        reader.report("pools", reader.lineOf("pools"), "no pool is listed; name at least one");
     wave.action = reader.choice<WaveAction>("action", wave.action);
     wave.target = reader.identifier<PoolId>("target", false);
     this->checkTarget(reader, wave);
@@ -169,30 +170,32 @@
 {
     auto line = reader.lineOf("target");
     if (wave.action == WaveAction::Move && wave.target.isEmpty())
-        reader.report("target", line, "missing; a wave that moves VMs names the pool that they move to");
+        reader.report(
+            "target", line, "missing; a wave with action = move needs the name of the pool that its VMs move to");
     if (wave.action == WaveAction::Reboot && !wave.target.isEmpty())
-        reader.report("target", line, "a wave that reboots VMs has no target; remove it or set action = move");
+        reader.report(
+            "target", line, "a wave with action = reboot must have no target; remove it or set action = move");
     if (!wave.target.isEmpty() && std::ranges::find(wave.pools, wave.target) != wave.pools.end())
         reader.report("target", line, "the target is one of the wave's own pools; name another pool");
-    this->refer(reader, "pool", wave.target.string(), "target");
+    this->addReference(reader, "pool", wave.target.string(), "target");
 }
 
-void DocumentBuilder::refer(
+void DocumentBuilder::addReference(
     SectionReader& reader, std::string_view kind, const std::string& name, std::string_view key, int line)
 {
     if (name.empty())
         return;
-    auto place = line == 0 ? reader.lineOf(key) : line;
-    this->references.push_back({ fmt::format("{} {}", kind, name), this->currentHeader, std::string(key), place });
+    auto location = line == 0 ? reader.lineOf(key) : line;
+    this->references.push_back({ fmt::format("{} {}", kind, name), this->currentHeader, std::string(key), location });
 }
 
 void DocumentBuilder::checkReferences()
 {
     for (const auto& reference : this->references) {
-        if (this->headers.contains(reference.target))
+        if (this->headerLines.contains(reference.target))
             continue;
         this->errors.list.push_back({ reference.section, reference.key, reference.line,
-            fmt::format("there is no section [{}]; add it or name one that exists", reference.target) });
+            fmt::format("there is no section [{}]; add it or use the name of an existing one", reference.target) });
     }
 }
 
--- a/modules/config/document/DocumentBuilder.h
+++ b/modules/config/document/DocumentBuilder.h
@@ -13,8 +13,8 @@
 
 namespace Greengage {
 
-/// Fills a document section by section and remembers what refers to what. Call `add` for each section, then
-/// `checkReferences`.
+/// Builds a document section by section and collects the references between sections. Call `add` for each section, then
+/// `checkReferences`; `document` is valid only if `errors` is empty afterwards.
 class DocumentBuilder {
 public:
     void add(const IniSection&);
@@ -31,13 +31,18 @@
     void addKey(SectionReader&, std::string name, int line);
     void addWave(SectionReader&, std::string name, int line);
     void checkTarget(SectionReader&, const Wave&);
-    bool claimHeader(const IniSection&);
-    /// Remembers that `key` names an entity of the given kind. An empty name refers to nothing.
-    void refer(SectionReader&, std::string_view kind, const std::string& name, std::string_view key, int line = 0);
+    /// Records the section's header. Returns false and reports an error if an earlier section has the same header.
+    bool registerHeader(const IniSection&);
+    /// Records that `key` refers to the entity of the given kind and name; does nothing if the name is empty. `line` is
+    /// the line of the reference, or 0 for the line of the key.
+    void addReference(
+        SectionReader&, std::string_view kind, const std::string& name, std::string_view key, int line = 0);
 
     std::string currentHeader;
-    std::map<std::string, int, std::less<>> headers;
-    std::map<std::string, Reference, std::less<>> poolOfVm;
+    /// Line of each section's header, by header.
+    std::map<std::string, int, std::less<>> headerLines;
+    /// Where each VM is listed in a pool, by the VM's id.
+    std::map<std::string, Reference, std::less<>> poolReferences;
     std::vector<Reference> references;
 };
 
--- a/modules/config/document/DocumentCodec.cpp
+++ b/modules/config/document/DocumentCodec.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-bool hasExactly(const Json::Value& object, std::initializer_list<const char*> members)
+bool hasExactMembers(const Json::Value& object, std::initializer_list<const char*> members)
 {
     if (!object.isObject() || object.size() != members.size())
         return false;
@@ -34,12 +34,14 @@
 
 Result<ChangeSummary, CodecError> changeFromJson(const Json::Value& json)
 {
-    if (!hasExactly(json, { "revision", "changeId", "author", "acceptedAtUnixMilliseconds", "sections" }))
-        return CodecError { "a change has revision, changeId, author, acceptedAtUnixMilliseconds and sections" };
+    if (!hasExactMembers(json, { "revision", "changeId", "author", "acceptedAtUnixMilliseconds", "sections" }))
+        return CodecError {
+            "a change must have exactly the members revision, changeId, author, acceptedAtUnixMilliseconds and sections"
+        };
     if (!json["revision"].isUInt64() || !json["acceptedAtUnixMilliseconds"].isInt64())
-        return CodecError { "a change's revision and acceptedAtUnixMilliseconds are whole numbers" };
+        return CodecError { "a change's revision and acceptedAtUnixMilliseconds must be whole numbers" };
     if (!json["changeId"].isString() || !json["author"].isString() || !json["sections"].isArray())
-        return CodecError { "a change's changeId and author are strings, and its sections an array" };
+        return CodecError { "a change's changeId and author must be strings, and its sections an array" };
     ChangeSummary change;
     change.revision = json["revision"].asUInt64();
     change.changeId = json["changeId"].asString();
@@ -47,7 +49,7 @@
     change.acceptedAtUnixMilliseconds = json["acceptedAtUnixMilliseconds"].asInt64();
     for (const auto& section : json["sections"]) {
         if (!section.isString())
-            return CodecError { "a change's sections are strings" };
+            return CodecError { "the entries of a change's sections must be strings" };
         change.sections.push_back(section.asString());
     }
     return change;
@@ -76,10 +78,12 @@
 
 Result<DocumentRecord, CodecError> DocumentCodec::fromJson(const Json::Value& json)
 {
-    if (!hasExactly(json, { "revision", "changes", "text" }))
-        return CodecError { "a document record has revision, changes and text" };
+    if (!hasExactMembers(json, { "revision", "changes", "text" }))
+        return CodecError { "a document record must have exactly the members revision, changes and text" };
     if (!json["revision"].isUInt64() || !json["changes"].isArray() || !json["text"].isString())
-        return CodecError { "a document record's revision is a whole number, its changes an array, its text a string" };
+        return CodecError {
+            "a document record's revision must be a whole number, its changes an array and its text a string"
+        };
     DocumentRecord record;
     record.revision = json["revision"].asUInt64();
     record.text = json["text"].asString();
@@ -88,7 +92,7 @@
         record.changes.push_back(std::move(change));
     }
     if (!record.changes.empty() && record.changes.front().revision != record.revision)
-        return CodecError { "the first of a record's changes has the record's own revision" };
+        return CodecError { "the first of a document record's changes must have the record's own revision" };
     return record;
 }
 
--- a/modules/config/document/DocumentCodec.h
+++ b/modules/config/document/DocumentCodec.h
@@ -13,8 +13,8 @@
 
 namespace Greengage {
 
-/// Turns document records into the JSON that the store, the daemons and the operators' tool exchange, and back.
-/// Decoding refuses missing, unknown and mistyped members, and a newest change of another revision.
+/// Encodes and decodes document records as the JSON that the store, the daemons and the operators' tool exchange.
+/// Decoding rejects missing, unknown and mistyped members, and a record whose newest change has another revision.
 class DocumentCodec {
 public:
     static std::string encode(const DocumentRecord&);
--- a/modules/config/document/DocumentParser.h
+++ b/modules/config/document/DocumentParser.h
@@ -9,11 +9,11 @@
 
 namespace Greengage {
 
-/// Parses and checks the operators' document. Either every section is well formed, every name is unique among its kind
-/// and every reference names an entity of the document, or all faults are returned together, sorted by line.
+/// Parses and validates the operators' document. It succeeds if every section is well formed, every name is unique
+/// within its kind and every reference names an existing entity. Otherwise it returns all errors, sorted by line.
 class DocumentParser {
 public:
-    /// `revision` is written into the document; give 0 for a text that the store has not accepted.
+    /// `revision` is stored in the returned document; pass 0 for a text that has not been accepted.
     Result<Document, ConfigErrors> parse(std::string_view text, std::uint64_t revision = 0) const;
 };
 
--- a/modules/config/document/Reference.h
+++ b/modules/config/document/Reference.h
@@ -4,11 +4,11 @@
 
 namespace Greengage {
 
-/// A place in the document that names a section.
+/// A reference from a key of one section to another section, with its location in the document.
 struct Reference {
-    /// Header of the section that is named, such as "pool washing".
+    /// Header of the section that is referred to, such as "pool washing".
     std::string target;
-    /// Header of the section that names it.
+    /// Header of the section that contains the reference.
     std::string section;
     std::string key;
     int line = 0;
--- a/modules/config/errors/ConfigErrors.h
+++ b/modules/config/errors/ConfigErrors.h
@@ -8,16 +8,17 @@
 
 namespace Greengage {
 
-/// Everything that is wrong with a text, in the order of its lines.
+/// All errors found in a text.
 struct ConfigErrors {
     std::vector<ConfigError> list;
 
     bool isEmpty() const { return this->list.empty(); }
 
-    /// Sorts the errors by line; errors of one line keep their order.
+    /// Sorts the errors by line; errors on the same line keep their order.
     void sortByLine();
 
-    /// One line for each error, "<file>:<line>: [<section>] <key>: <message>", each ended by a newline.
+    /// Formats each error as "<file>:<line>: [<section>] <key>: <message>" followed by a newline. Parts that an error
+    /// lacks are left out.
     std::string describe(std::string_view file) const;
 };
 
--- a/modules/config/ini/IniEntry.h
+++ b/modules/config/ini/IniEntry.h
@@ -7,12 +7,12 @@
 
 namespace Greengage {
 
-/// One "key = value" of an INI section. Indented lines below it continue its value.
+/// One "key = value" entry of an INI section. Indented lines after it continue the value.
 struct IniEntry {
     std::string key;
-    /// Line of the key, from 1.
+    /// Line of the key, counted from 1.
     int line = 0;
-    /// The value: the rest of the key's own line, then the lines that continue it.
+    /// The value: the rest of the key's line, followed by its continuation lines.
     std::vector<Located<std::string>> lines;
 };
 
--- a/modules/config/ini/IniFile.h
+++ b/modules/config/ini/IniFile.h
@@ -7,12 +7,13 @@
 
 namespace Greengage {
 
-/// The sections of an INI text, and what stands in it that is not INI.
+/// The sections of an INI text, and the errors for lines that are not valid INI.
 struct IniFile {
     std::vector<IniSection> sections;
     ConfigErrors errors;
 
-    /// The section of that name. If it is absent, an empty one without a line, so that its missing keys are reported.
+    /// Returns the first section with that header. If there is none, returns an empty section with line 0, so that its
+    /// required keys are reported as missing.
     IniSection sectionOrEmpty(std::string_view name) const;
 };
 
--- a/modules/config/ini/IniLine.h
+++ b/modules/config/ini/IniLine.h
@@ -5,30 +5,30 @@
 
 namespace Greengage {
 
-/// What kind of line stands in an INI text.
+/// The kind of a line of an INI text.
 enum class IniLineKind {
     /// Empty, or a comment that starts with ';' or '#'.
     Blank,
     Header,
-    /// A key with its value, the continuation of a value, or a line that is not INI.
+    /// A key with its value, the continuation of a value, or a line that is not valid INI.
     Other,
-    /// Starts with a bracket, but is indented, unclosed, empty, or has text behind it.
+    /// Starts with '[', but is indented, unclosed, empty or followed by other text.
     BadHeader,
 };
 
-/// One line of an INI text, told apart by its first characters.
+/// The classification of one line of an INI text.
 struct IniLine {
     IniLineKind kind = IniLineKind::Blank;
     /// Whether the line starts with a space or a tab.
     bool indented = false;
-    /// For a header, the words between its brackets, separated by single spaces.
+    /// For a header, the words between the brackets, separated by single spaces.
     std::string header;
 };
 
-/// Tells what kind of line `text` is. Both the parser and the merge divide a text into sections by this.
+/// Classifies one line. The parser and the merge both use it, so that they divide a text into the same sections.
 IniLine classifyIniLine(std::string_view text);
 
-/// The text without the spaces, tabs and carriage returns at its ends.
+/// Returns the text without leading and trailing spaces, tabs, carriage returns and newlines.
 std::string_view trimWhitespace(std::string_view text);
 
 } // namespace Greengage
--- a/modules/config/ini/IniParser.cpp
+++ b/modules/config/ini/IniParser.cpp
@@ -25,8 +25,8 @@
     this->file = {};
     this->rest = text;
     this->lineNumber = 0;
-    this->awaitsValue = false;
-    this->droppedValue = false;
+    this->valuePending = false;
+    this->lastKeyRejected = false;
     ini_parse_stream(&IniParser::readLine, this, &IniParser::handleValue, this);
     this->endLine();
     this->file.errors.sortByLine();
@@ -43,7 +43,8 @@
     auto line = self.rest.substr(0, end);
     self.rest.remove_prefix(std::min(end + 1, self.rest.size()));
     ++self.lineNumber;
-    // A line that inih would cut short or misread is reported here, and inih is given an empty one in its place.
+    // A line that inih would truncate or misread has been reported; inih gets an empty line in its place, so that line
+    // numbers stay the same.
     if (!self.beginLine(line))
         line = "";
     std::memcpy(buffer, line.data(), line.size());
@@ -57,38 +58,38 @@
     if (text.size() > IniParser::maxLineBytes) {
         this->report({},
             "the line is longer than " + std::to_string(IniParser::maxLineBytes)
-                + " bytes; divide a list over indented lines");
+                + " bytes; split a list over several indented lines");
         return false;
     }
     if (std::ranges::any_of(text, isUnprintable)) {
-        this->report({}, "the line holds a control character; only printable text and tabs are allowed");
+        this->report({}, "the line contains a control character; only printable text and tabs are allowed");
         return false;
     }
-    if (!isPlainUtf8(text)) {
+    if (!isBmpUtf8(text)) {
         this->report({},
-            "the line is not plain UTF-8 text; save the file in UTF-8, without emoji and other characters "
-            "beyond U+FFFF");
+            "the line is not UTF-8 text with characters up to U+FFFF; save the file in UTF-8, without emoji and other "
+            "characters beyond U+FFFF");
         return false;
     }
     auto line = classifyIniLine(text);
     if (line.kind == IniLineKind::BadHeader) {
-        this->report({}, "a section starts with \"[name]\" at the beginning of its own line");
+        this->report({}, "a section header must be \"[name]\" at the start of its own line");
         return false;
     }
     if (line.kind == IniLineKind::Header) {
         this->file.sections.push_back({ line.header, this->lineNumber, {} });
-        this->droppedValue = false;
+        this->lastKeyRejected = false;
     }
-    this->awaitsValue = line.kind == IniLineKind::Other;
-    this->continuesValue = line.indented && !this->file.sections.empty() && !this->file.sections.back().entries.empty();
+    this->valuePending = line.kind == IniLineKind::Other;
+    this->isContinuation = line.indented && !this->file.sections.empty() && !this->file.sections.back().entries.empty();
     return true;
 }
 
 void IniParser::endLine()
 {
-    if (this->awaitsValue)
-        this->report({}, "neither a section \"[name]\", nor \"key = value\", nor a comment that starts with ; or #");
-    this->awaitsValue = false;
+    if (this->valuePending)
+        this->report({}, "expected a section header \"[name]\", \"key = value\" or a comment that starts with ; or #");
+    this->valuePending = false;
 }
 
 int IniParser::handleValue(void* parser, const char*, const char* key, const char* value)
@@ -99,21 +100,21 @@
 
 void IniParser::addValue(std::string_view key, std::string_view value)
 {
-    if (!std::exchange(this->awaitsValue, false))
+    if (!std::exchange(this->valuePending, false))
         return;
     if (this->file.sections.empty()) {
-        this->report(key, "the key stands outside every section; put it below a \"[name]\" line");
+        this->report(key, "the key is not in any section; put it below a \"[name]\" line");
         return;
     }
     auto& entries = this->file.sections.back().entries;
-    if (this->continuesValue) {
-        if (!this->droppedValue)
+    if (this->isContinuation) {
+        if (!this->lastKeyRejected)
             entries.back().lines.push_back({ std::string(value), this->lineNumber });
         return;
     }
-    this->droppedValue = true;
+    this->lastKeyRejected = true;
     if (key.empty() || key.size() > IniParser::maxKeyBytes) {
-        this->report(key, "a key has 1 to " + std::to_string(IniParser::maxKeyBytes) + " characters");
+        this->report(key, "a key must have 1 to " + std::to_string(IniParser::maxKeyBytes) + " characters");
         return;
     }
     auto earlier = std::ranges::find(entries, key, &IniEntry::key);
@@ -121,7 +122,7 @@
         this->report(key, "given twice in this section, first on line " + std::to_string(earlier->line) + "; keep one");
         return;
     }
-    this->droppedValue = false;
+    this->lastKeyRejected = false;
     entries.push_back({ std::string(key), this->lineNumber, { { std::string(value), this->lineNumber } } });
 }
 
--- a/modules/config/ini/IniParser.h
+++ b/modules/config/ini/IniParser.h
@@ -6,13 +6,14 @@
 
 namespace Greengage {
 
-/// Parses INI text with inih and keeps the line of each header, key and value. Nothing is dropped without an error:
-/// lines that are not INI, lines and keys longer than inih reads, and bytes that are not printable text are reported.
+/// Parses INI text with inih and records the line of each header, key and value. Nothing is dropped silently: lines
+/// that are not valid INI, lines and keys longer than inih supports, and unprintable or non-UTF-8 text are reported as
+/// errors.
 class IniParser {
 public:
-    /// Longest line that is read, in bytes.
+    /// Maximum length of a line, in bytes.
     static constexpr std::size_t maxLineBytes = 190;
-    /// Longest key that is read, in bytes.
+    /// Maximum length of a key, in bytes.
     static constexpr std::size_t maxKeyBytes = 48;
 
     IniFile parse(std::string_view text);
@@ -29,9 +30,12 @@
     IniFile file;
     std::string_view rest;
     int lineNumber = 0;
-    bool awaitsValue = false;
-    bool continuesValue = false;
-    bool droppedValue = false;
+    /// Whether inih still has to report a key or value from the current line.
+    bool valuePending = false;
+    /// Whether the current line continues the value of the last key.
+    bool isContinuation = false;
+    /// Whether the last key was rejected, so that the lines that continue its value are ignored.
+    bool lastKeyRejected = false;
 };
 
 } // namespace Greengage
--- a/modules/config/ini/IniSection.h
+++ b/modules/config/ini/IniSection.h
@@ -11,7 +11,7 @@
 struct IniSection {
     /// The words between the brackets, separated by single spaces.
     std::string header;
-    /// Line of the header, from 1.
+    /// Line of the header, counted from 1; 0 for a section that is absent from the text.
     int line = 0;
     std::vector<IniEntry> entries;
 };
--- a/modules/config/ini/Located.h
+++ b/modules/config/ini/Located.h
@@ -2,7 +2,7 @@
 
 namespace Greengage {
 
-/// A value together with the line of the text that it stands on, from 1.
+/// A value with the line of the text that it was read from, counted from 1.
 template <typename Value> struct Located {
     Value value {};
     int line = 0;
--- a/modules/config/ini/SectionReader.cpp
+++ b/modules/config/ini/SectionReader.cpp
@@ -40,7 +40,7 @@
     return (character >= 'a' && character <= 'z') || (character >= '0' && character <= '9');
 }
 
-/// The platform chooses the ids of VMs, so more is allowed in them than in names that operators choose.
+/// The platform assigns the ids of VMs, so they may contain more characters than names that operators choose.
 bool isVmId(std::string_view text)
 {
     auto isVmIdCharacter = [](unsigned char character) {
@@ -55,22 +55,22 @@
 
 std::string SectionReader::text(std::string_view key, std::optional<std::string> fallback)
 {
-    auto value = this->single(key, !fallback);
+    auto value = this->singleLineValue(key, !fallback);
     if (!value)
         return fallback.value_or("");
     if (value->value.empty() && !fallback)
-        this->report(key, value->line, "the value is empty; give one");
+        this->report(key, value->line, "the value is empty; a value is required");
     return value->value;
 }
 
 std::string SectionReader::name(std::string_view key, std::optional<std::string> fallback)
 {
-    auto value = this->single(key, !fallback);
+    auto value = this->singleLineValue(key, !fallback);
     if (!value)
         return fallback.value_or("");
     if (isName(value->value) || (fallback && value->value.empty()))
         return value->value;
-    this->report(key, value->line, found(value->value) + "; " + nameRule());
+    this->report(key, value->line, quoteInvalid(value->value) + "; " + nameRule());
     return {};
 }
 
@@ -98,7 +98,7 @@
         if (isName(word.value))
             names.push_back(std::move(word));
         else
-            this->report(key, word.line, found(word.value) + "; " + nameRule());
+            this->report(key, word.line, quoteInvalid(word.value) + "; " + nameRule());
     }
     return names;
 }
@@ -110,7 +110,8 @@
         if (isVmId(word.value))
             ids.push_back(std::move(word));
         else
-            this->report(key, word.line, found(word.value) + "; the id of a VM, as the platform lists it");
+            this->report(
+                key, word.line, quoteInvalid(word.value) + "; expected the id of a VM, as the platform lists it");
     }
     return ids;
 }
@@ -127,69 +128,74 @@
         if (address.port != 0 && isIpAddress(address.address))
             addresses.push_back(std::move(address));
         else
-            this->report(key, word.line, found(word.value) + "; an IP address with a port, such as 10.0.0.1:7000");
+            this->report(key, word.line,
+                quoteInvalid(word.value) + "; expected an IP address with a port, such as 10.0.0.1:7000");
     }
     return addresses;
 }
 
 int SectionReader::integer(std::string_view key, int lowest, int highest, std::optional<int> fallback)
 {
-    auto value = this->single(key, !fallback);
+    auto value = this->singleLineValue(key, !fallback);
     if (!value)
         return fallback.value_or(lowest);
     auto number = parseNumber<int>(value->value);
     if (number && *number >= lowest && *number <= highest)
         return *number;
     this->report(
-        key, value->line, fmt::format("{}; a whole number from {} to {}", found(value->value), lowest, highest));
+        key, value->line, fmt::format("{}; a whole number from {} to {}", quoteInvalid(value->value), lowest, highest));
     return lowest;
 }
 
 double SectionReader::numberBetween(std::string_view key, double low, double high, std::optional<double> fallback)
 {
-    auto value = this->single(key, !fallback);
+    auto value = this->singleLineValue(key, !fallback);
     auto middle = (low + high) / 2;
     if (!value)
         return fallback.value_or(middle);
     auto number = parseNumber<double>(value->value);
     if (number && std::isfinite(*number) && *number > low && *number < high)
         return *number;
-    this->report(key, value->line, fmt::format("{}; a number above {} and below {}", found(value->value), low, high));
+    this->report(key, value->line,
+        fmt::format("{}; expected a number above {} and below {}", quoteInvalid(value->value), low, high));
     return middle;
 }
 
 bool SectionReader::yesOrNo(std::string_view key, std::optional<bool> fallback)
 {
-    auto value = this->single(key, !fallback);
+    auto value = this->singleLineValue(key, !fallback);
     if (!value)
         return fallback.value_or(false);
     if (value->value == "yes")
         return true;
     if (value->value != "no")
-        this->report(key, value->line, found(value->value) + "; yes or no");
+        this->report(key, value->line, quoteInvalid(value->value) + "; expected yes or no");
     return false;
 }
 
 std::string SectionReader::hexDigits(std::string_view key, std::size_t shortest, std::size_t longest)
 {
-    auto value = this->single(key, true);
+    auto value = this->singleLineValue(key, true);
     if (!value)
         return {};
     auto size = value->value.size();
     if (std::ranges::all_of(value->value, isLowerHexDigit) && size >= shortest && size <= longest && size % 2 == 0)
         return value->value;
     auto count = shortest == longest ? fmt::format("{}", shortest) : fmt::format("{} to {}", shortest, longest);
-    this->report(key, value->line, fmt::format("{} characters; {} lower-case hexadecimal digits", size, count));
+    this->report(key, value->line,
+        fmt::format(
+            "the value has {} characters; expected an even number of lower-case hexadecimal digits ({})", size, count));
     return {};
 }
 
 std::string SectionReader::ipAddress(std::string_view key, std::optional<std::string> fallback)
 {
-    auto value = this->single(key, !fallback);
+    auto value = this->singleLineValue(key, !fallback);
     if (!value)
         return fallback.value_or("");
     if (!isIpAddress(value->value))
-        this->report(key, value->line, found(value->value) + "; an IP address in numbers, such as 10.0.0.1");
+        this->report(
+            key, value->line, quoteInvalid(value->value) + "; expected a numeric IP address, such as 10.0.0.1");
     return value->value;
 }
 
@@ -207,10 +213,10 @@
 void SectionReader::finish()
 {
     std::string names;
-    for (const auto& name : this->known)
+    for (const auto& name : this->requestedKeys)
         names += (names.empty() ? "" : ", ") + name;
     for (const auto& entry : this->section.entries) {
-        if (!this->known.contains(entry.key))
+        if (!this->requestedKeys.contains(entry.key))
             this->report(entry.key, entry.line, "unknown key; this section has: " + names);
     }
 }
@@ -231,12 +237,12 @@
 
 const IniEntry* SectionReader::find(std::string_view key)
 {
-    this->known.emplace(key);
+    this->requestedKeys.emplace(key);
     auto entry = std::ranges::find(this->section.entries, key, &IniEntry::key);
     return entry == this->section.entries.end() ? nullptr : &*entry;
 }
 
-std::optional<Located<std::string>> SectionReader::single(std::string_view key, bool required)
+std::optional<Located<std::string>> SectionReader::singleLineValue(std::string_view key, bool required)
 {
     const auto* entry = this->find(key);
     if (entry == nullptr) {
@@ -246,16 +252,17 @@
     }
     if (entry->lines.size() > 1) {
         this->report(key, entry->lines[1].line,
-            "an indented line continues the value above it, which takes only one line; begin keys at the line's start");
+            "an indented line continues the value above it, which must be on one line; start keys at the beginning of "
+            "a line");
     }
     return entry->lines.front();
 }
 
-std::string SectionReader::found(std::string_view value)
+std::string SectionReader::quoteInvalid(std::string_view value)
 {
-    constexpr std::size_t longestQuote = 60;
-    if (value.size() > longestQuote)
-        return "\"" + std::string(value.substr(0, longestQuote)) + "...\" is not right";
+    constexpr std::size_t maxQuotedLength = 60;
+    if (value.size() > maxQuotedLength)
+        return "\"" + std::string(value.substr(0, maxQuotedLength)) + "...\" is not right";
     return "\"" + std::string(value) + "\" is not right";
 }
 
--- a/modules/config/ini/SettingsText.cpp
+++ b/modules/config/ini/SettingsText.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-ConfigErrors errorOfFile(std::string message) { return { { { {}, {}, 0, std::move(message) } } }; }
+ConfigErrors fileError(std::string message) { return { { { {}, {}, 0, std::move(message) } } }; }
 
 } // namespace
 
@@ -16,12 +16,12 @@
 {
     std::ifstream stream(path, std::ios::binary);
     if (!stream || stream.peek() == std::ifstream::traits_type::eof())
-        return errorOfFile("the file cannot be read or is empty; name a settings file");
+        return fileError("the file cannot be read or is empty; expected the name of a settings file");
     std::string text(maxSettingsBytes + 1, '\0');
     stream.read(text.data(), static_cast<std::streamsize>(text.size()));
     text.resize(static_cast<std::size_t>(stream.gcount()));
     if (text.size() > maxSettingsBytes)
-        return errorOfFile(fmt::format("the file is larger than {} bytes", maxSettingsBytes));
+        return fileError(fmt::format("the file is larger than {} bytes", maxSettingsBytes));
     return text;
 }
 
--- a/modules/config/ini/SettingsText.h
+++ b/modules/config/ini/SettingsText.h
@@ -8,11 +8,11 @@
 
 namespace Greengage {
 
-/// The longest settings file that is read.
+/// Maximum size of a settings file, in bytes.
 constexpr std::size_t maxSettingsBytes = 64 * 1024;
 
-/// The text of a settings file. One that cannot be read, is empty or is longer than `maxSettingsBytes` is an error of
-/// line 0.
+/// Reads the text of a settings file. Returns an error with line 0 if the file cannot be read, is empty or is larger
+/// than `maxSettingsBytes`.
 Result<std::string, ConfigErrors> readSettingsText(const std::string& path);
 
 } // namespace Greengage
--- a/modules/config/json/CodecError.h
+++ b/modules/config/json/CodecError.h
@@ -4,7 +4,7 @@
 
 namespace Greengage {
 
-/// Why a stored or received value is not a document record.
+/// Why a stored or received value could not be decoded.
 struct CodecError {
     std::string message;
 };
--- a/modules/config/json/JsonText.cpp
+++ b/modules/config/json/JsonText.cpp
@@ -10,25 +10,25 @@
 
 namespace {
 
-constexpr int maxNesting = 32;
+constexpr int maxNestingDepth = 32;
 
 } // namespace
 
 Result<Json::Value, CodecError> parseJson(std::string_view text)
 {
-    if (!isPlainUtf8(text))
-        return CodecError { "not JSON: the text is not plain UTF-8" };
+    if (!isBmpUtf8(text))
+        return CodecError { "not valid JSON: the text is not UTF-8 with characters up to U+FFFF" };
     Json::CharReaderBuilder builder;
     Json::CharReaderBuilder::strictMode(&builder.settings_);
-    builder["stackLimit"] = maxNesting;
+    builder["stackLimit"] = maxNestingDepth;
     std::unique_ptr<Json::CharReader> reader(builder.newCharReader());
     Json::Value value;
     std::string errors;
     try {
         if (!reader->parse(text.data(), text.data() + text.size(), &value, &errors))
-            return CodecError { "not JSON: " + errors };
+            return CodecError { "not valid JSON: " + errors };
     } catch (const Json::Exception& exception) {
-        return CodecError { std::string("not JSON: ") + exception.what() };
+        return CodecError { std::string("not valid JSON: ") + exception.what() };
     }
     return value;
 }
@@ -37,7 +37,7 @@
 {
     Json::StreamWriterBuilder builder;
     builder["indentation"] = "";
-    // The escapes that jsoncpp 1.9.5 writes for characters of four bytes do not decode to the same character.
+    // jsoncpp 1.9.5 escapes characters of four bytes in UTF-8 in a form that decodes to other characters.
     builder["emitUTF8"] = true;
     return Json::writeString(builder, value);
 }
--- a/modules/config/json/JsonText.h
+++ b/modules/config/json/JsonText.h
@@ -9,10 +9,11 @@
 
 namespace Greengage {
 
-/// Parses one JSON value. Duplicate members, trailing text, deep nesting and text that is not plain UTF-8 are refused.
+/// Parses one JSON value. Rejects duplicate members, trailing text, deep nesting and text for which `isBmpUtf8` is
+/// false.
 Result<Json::Value, CodecError> parseJson(std::string_view text);
 
-/// Writes a JSON value on one line.
+/// Writes a JSON value as one line.
 std::string writeJson(const Json::Value&);
 
 } // namespace Greengage
--- a/modules/config/json/MemberReader.cpp
+++ b/modules/config/json/MemberReader.cpp
@@ -8,13 +8,14 @@
 {
 }
 
-const Json::Value& MemberReader::member(const char* name, bool (Json::Value::*isWanted)() const, const char* wanted)
+const Json::Value& MemberReader::member(
+    const char* name, bool (Json::Value::*isExpectedType)() const, const char* expectedType)
 {
-    const auto& found = this->object.isObject() ? this->object[name] : Json::Value::nullSingleton();
-    if ((found.*isWanted)() && !found.isNull())
-        return found;
+    const auto& value = this->object.isObject() ? this->object[name] : Json::Value::nullSingleton();
+    if ((value.*isExpectedType)() && !value.isNull())
+        return value;
     if (this->error.message.empty())
-        this->error.message = std::string("the member ") + name + " must be " + wanted;
+        this->error.message = std::string("member \"") + name + "\" must be " + expectedType;
     return Json::Value::nullSingleton();
 }
 
@@ -47,7 +48,7 @@
         if (entry.isString())
             texts.push_back(entry.asString());
         else if (this->error.message.empty())
-            this->error.message = std::string("the entries of ") + name + " must be strings";
+            this->error.message = std::string("the entries of \"") + name + "\" must be strings";
     }
     return texts;
 }
--- a/modules/config/json/MemberReader.h
+++ b/modules/config/json/MemberReader.h
@@ -9,8 +9,8 @@
 
 namespace Greengage {
 
-/// Reads the typed members of a JSON object. A missing or mistyped member is written into the error, unless an earlier
-/// one stands there, and an empty value is returned in its place; test the error when all is read.
+/// Reads the typed members of a JSON object. A missing or mistyped member sets the error, unless an earlier member has
+/// set it, and an empty value is returned; check the error after all members have been read.
 class MemberReader {
 public:
     /// Both must outlive the reader.
@@ -20,17 +20,17 @@
     bool flag(const char* name);
     int integer(const char* name);
     std::int64_t whole(const char* name);
-    /// A whole number that is not negative.
+    /// A non-negative whole number.
     std::uint64_t count(const char* name);
     std::vector<std::string> texts(const char* name);
-    /// The entries of an array; empty if it is missing.
+    /// An array; empty if the member is missing.
     const Json::Value& list(const char* name);
 
-    /// A reader of an object within this one, which reports into the same error.
+    /// Returns a reader for an object nested in this one, which sets the same error.
     MemberReader inner(const Json::Value& object) const { return { object, this->error }; }
 
 private:
-    const Json::Value& member(const char* name, bool (Json::Value::*isWanted)() const, const char* wanted);
+    const Json::Value& member(const char* name, bool (Json::Value::*isExpectedType)() const, const char* expectedType);
 
     const Json::Value& object;
     CodecError& error;
--- a/modules/config/json/Utf8.cpp
+++ b/modules/config/json/Utf8.cpp
@@ -9,14 +9,15 @@
 
 unsigned char toByte(char character) { return static_cast<unsigned char>(character); }
 
-/// Whether two bytes begin an encoded surrogate, which is not a character, though the library's facet takes it for one.
+/// Whether two bytes begin an encoded surrogate. Surrogates are not characters, but the standard library's codecvt
+/// facet accepts them.
 bool beginsSurrogate(char first, char second) { return toByte(first) == 0xed && toByte(second) >= 0xa0; }
 
 bool beginsFourBytes(char first) { return toByte(first) >= 0xf0; }
 
 } // namespace
 
-bool isPlainUtf8(std::string_view text)
+bool isBmpUtf8(std::string_view text)
 {
     using Utf8Facet = std::codecvt<char32_t, char8_t, std::mbstate_t>;
     std::mbstate_t state {};
--- a/modules/config/keys/GeneratedKey.h
+++ b/modules/config/keys/GeneratedKey.h
@@ -6,7 +6,8 @@
 
 namespace Greengage {
 
-/// A new key: what the document keeps, and what its holder shows. Print `shown` once and never log it.
+/// A new key: the part that the document stores and the text that the caller presents. Print `shown` once and never log
+/// it, because it contains the secret.
 struct GeneratedKey {
     AccessKey stored;
     /// "<name>.<secret>".
--- a/modules/config/keys/KeyGenerator.h
+++ b/modules/config/keys/KeyGenerator.h
@@ -6,7 +6,7 @@
 
 namespace Greengage {
 
-/// Makes keys with random secrets.
+/// Generates keys with random secrets and salts.
 class KeyGenerator {
 public:
     static constexpr std::size_t secretBytes = 32;
@@ -14,7 +14,7 @@
 
     static GeneratedKey generate(const KeyId& name, const TeamId& team, const std::string& owner);
 
-    /// The section that puts a key into a document, with its header and a newline at its end.
+    /// Returns the section that adds a key to a document: its header and its keys, ending with a newline.
     static std::string sectionText(const AccessKey&);
 };
 
--- a/modules/config/keys/KeyVerifier.cpp
+++ b/modules/config/keys/KeyVerifier.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Longest key that is looked at, in bytes, so that a caller cannot make the daemon hash long texts.
+/// Maximum length of a key in bytes, so that a caller cannot make the daemon hash long texts.
 constexpr std::size_t maxKeyBytes = 512;
 
 } // namespace
@@ -20,7 +20,7 @@
         this->keys.emplace(key.name, key);
 }
 
-std::optional<KeyHolder> KeyVerifier::verify(std::string_view key) const
+std::optional<VerifiedKey> KeyVerifier::verify(std::string_view key) const
 {
     auto dot = key.find('.');
     if (dot == std::string_view::npos || key.size() > maxKeyBytes)
@@ -28,14 +28,14 @@
     auto secret = key.substr(dot + 1);
     auto found = this->keys.find(KeyId(std::string(key.substr(0, dot))));
     if (found == this->keys.end()) {
-        // An unknown name costs the same digest as a known one.
+        // Computes a digest for an unknown name as well, so that it takes as long as a known one.
         KeyVerifier::matches(secret, {}, {});
         return std::nullopt;
     }
     const auto& known = found->second;
     if (!KeyVerifier::matches(secret, known.salt, known.digest))
         return std::nullopt;
-    return KeyHolder { known.name, known.team };
+    return VerifiedKey { known.name, known.team };
 }
 
 bool KeyVerifier::matches(std::string_view secret, std::string_view salt, std::string_view digest)
--- a/modules/config/keys/KeyVerifier.h
+++ b/modules/config/keys/KeyVerifier.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <config/keys/KeyHolder.h>
+#include <config/keys/VerifiedKey.h>
 #include <config/model/AccessKey.h>
 
 #include <optional>
@@ -11,19 +11,19 @@
 
 struct Document;
 
-/// Tells which team a caller's key belongs to. It holds the keys of one revision of the document, so it is made anew
-/// with each applied revision, and a key that the revision does not hold is refused from then on.
+/// Verifies callers' keys and finds the teams that they belong to. It holds the keys of one revision of the document
+/// and is replaced with each applied revision, so that a key removed from the document is rejected from then on.
 class KeyVerifier {
 public:
-    /// Verifies nothing.
+    /// Has no keys, so every key is rejected.
     KeyVerifier() = default;
     explicit KeyVerifier(const Document&);
 
-    /// `key` is what the caller has shown, "<name>.<secret>". Neither a wrong name nor a wrong secret shows in the
-    /// time that the check takes.
-    std::optional<KeyHolder> verify(std::string_view key) const;
+    /// Verifies the text that a caller presents, "<name>.<secret>", and returns nullopt if it is not a valid key. The
+    /// time taken does not reveal whether the name or the secret was wrong.
+    std::optional<VerifiedKey> verify(std::string_view key) const;
 
-    /// Whether `secret` belongs to a salt and digest, compared in constant time.
+    /// Whether `digest` is the digest of `salt` and `secret`, compared in constant time.
     static bool matches(std::string_view secret, std::string_view salt, std::string_view digest);
 
 private:
--- a/modules/config/keys/VerifiedKey.h
+++ b/modules/config/keys/VerifiedKey.h
@@ -4,8 +4,8 @@
 
 namespace Greengage {
 
-/// Whose key a caller has shown.
-struct KeyHolder {
+/// A key that a caller has presented and that has been verified, with the team that it belongs to.
+struct VerifiedKey {
     KeyId key;
     TeamId team;
 };
--- a/modules/config/merge/DocumentDiff.cpp
+++ b/modules/config/merge/DocumentDiff.cpp
@@ -15,7 +15,7 @@
     return found == file.sections.end() ? nullptr : &*found;
 }
 
-/// The value of a key on one line, its words separated by single spaces where it continues.
+/// Returns the value of a key as one line, its continuation lines joined by single spaces; nullopt if it is absent.
 std::optional<std::string> valueOf(const IniSection* section, std::string_view key)
 {
     if (section == nullptr)
@@ -47,10 +47,10 @@
     addKeys(after, keys);
     addKeys(before, keys);
     for (const auto& key : keys) {
-        auto old = valueOf(before, key);
-        auto fresh = valueOf(after, key);
-        if (old != fresh)
-            change.keys.push_back({ key, std::move(old), std::move(fresh) });
+        auto oldValue = valueOf(before, key);
+        auto newValue = valueOf(after, key);
+        if (oldValue != newValue)
+            change.keys.push_back({ key, std::move(oldValue), std::move(newValue) });
     }
     if (before == nullptr)
         change.kind = SectionChangeKind::Added;
--- a/modules/config/merge/DocumentDiff.h
+++ b/modules/config/merge/DocumentDiff.h
@@ -10,7 +10,8 @@
 /// Compares two texts of the document by section and key.
 class DocumentDiff {
 public:
-    /// The sections that differ, in the order of `after`, with those that it lacks where they stood in `before`.
+    /// Returns the sections that differ, in the order of `after`. Sections that `after` lacks keep their position
+    /// relative to their neighbours in `before`.
     static std::vector<SectionChange> compare(std::string_view before, std::string_view after);
 };
 
--- a/modules/config/merge/KeyChange.h
+++ b/modules/config/merge/KeyChange.h
@@ -5,12 +5,12 @@
 
 namespace Greengage {
 
-/// A key of a section whose value differs between two texts.
+/// A key whose value differs between two versions of a section.
 struct KeyChange {
     std::string key;
-    /// Nothing if the key was added.
+    /// Old value; nullopt if the key was added.
     std::optional<std::string> before;
-    /// Nothing if the key was removed.
+    /// New value; nullopt if the key was removed.
     std::optional<std::string> after;
 };
 
--- a/modules/config/merge/SectionMerge.cpp
+++ b/modules/config/merge/SectionMerge.cpp
@@ -12,7 +12,7 @@
 using Blocks = std::vector<TextBlock>;
 using KeyOrder = std::vector<std::string>;
 
-/// Keys of the blocks, in order, leaving out those that `other` lacks.
+/// Returns the keys of `blocks` that `other` has too, in the order of `blocks`.
 KeyOrder commonKeys(const Blocks& blocks, const Blocks& other)
 {
     std::set<std::string> otherKeys;
@@ -26,27 +26,28 @@
     return keys;
 }
 
-/// The keys of `first` in their order, and those that only `second` has, each behind the one that it follows there.
+/// Returns the keys of `first` in their order, and inserts each key that only `second` has after the key that precedes
+/// it in `second`.
 KeyOrder combineOrders(const Blocks& first, const Blocks& second)
 {
     KeyOrder order;
     for (const auto& block : first)
         order.push_back(block.key);
-    std::set<std::string> placed(order.begin(), order.end());
+    std::set<std::string> orderedKeys(order.begin(), order.end());
     const std::string* previous = nullptr;
     for (const auto& block : second) {
-        if (placed.insert(block.key).second) {
-            auto place = order.begin();
+        if (orderedKeys.insert(block.key).second) {
+            auto position = order.begin();
             if (previous != nullptr)
-                place = std::next(std::ranges::find(order, *previous));
-            order.insert(place, block.key);
+                position = std::next(std::ranges::find(order, *previous));
+            order.insert(position, block.key);
         }
         previous = &block.key;
     }
     return order;
 }
 
-/// Which version of a block stands in the merged text; none if the block is removed or in conflict.
+/// The version of a block that goes into the merged text; null if the block is removed or in conflict.
 struct BlockChoice {
     const TextBlock* block = nullptr;
     bool isConflict = false;
@@ -54,9 +55,9 @@
 
 BlockChoice chooseBlock(const TextBlock* base, const TextBlock* mine, const TextBlock* current)
 {
-    if (textOf(mine) == textOf(base))
+    if (textOrEmpty(mine) == textOrEmpty(base))
         return { current };
-    if (textOf(current) == textOf(base) || textOf(current) == textOf(mine))
+    if (textOrEmpty(current) == textOrEmpty(base) || textOrEmpty(current) == textOrEmpty(mine))
         return { mine };
     return { nullptr, true };
 }
@@ -94,10 +95,10 @@
     auto afterBlocks = divideIntoBlocks(after);
     std::vector<std::string> headers;
     for (const auto& key : combineOrders(afterBlocks, beforeBlocks)) {
-        const auto* old = findBlock(beforeBlocks, key);
-        const auto* fresh = findBlock(afterBlocks, key);
-        const auto& header = (fresh != nullptr ? fresh : old)->header;
-        if (!header.empty() && textOf(old) != textOf(fresh))
+        const auto* oldBlock = findBlock(beforeBlocks, key);
+        const auto* newBlock = findBlock(afterBlocks, key);
+        const auto& header = (newBlock != nullptr ? newBlock : oldBlock)->header;
+        if (!header.empty() && textOrEmpty(oldBlock) != textOrEmpty(newBlock))
             headers.push_back(header);
     }
     return headers;
--- a/modules/config/merge/TextBlocks.cpp
+++ b/modules/config/merge/TextBlocks.cpp
@@ -58,8 +58,8 @@
     return from;
 }
 
-/// One past the last line of the section whose header stands at `header`: its last key with the comments right below,
-/// but without the comments right above the next header.
+/// Returns one past the last line of the section whose header is at index `header`. The section includes the comments
+/// directly below its last key, but not those directly above the next header.
 std::size_t findSectionEnd(const std::vector<Line>& lines, std::size_t header)
 {
     auto limit = findRole(lines, header + 1, LineRole::Header);
@@ -124,6 +124,6 @@
     return found == blocks.end() ? nullptr : &*found;
 }
 
-std::string_view textOf(const TextBlock* block) { return block == nullptr ? std::string_view() : block->text; }
+std::string_view textOrEmpty(const TextBlock* block) { return block == nullptr ? std::string_view() : block->text; }
 
 } // namespace Greengage
--- a/modules/config/merge/TextBlocks.h
+++ b/modules/config/merge/TextBlocks.h
@@ -8,17 +8,17 @@
 
 namespace Greengage {
 
-/// Divides the text of a document into blocks.
+/// Splits the text of a document into blocks.
 std::vector<TextBlock> divideIntoBlocks(std::string_view text);
 
-/// Writes blocks one after another, each with its blank lines before it. Blocks as they were divided give the text
-/// again, but for blank lines at its end and a missing last newline.
+/// Concatenates blocks, each preceded by its blank lines. Joining the unchanged blocks of a text restores the text,
+/// except that blank lines at its end are removed and a missing final newline is added.
 std::string joinBlocks(const std::vector<TextBlock>&);
 
-/// The block with that key, or nothing.
+/// Returns the block with that key, or null.
 const TextBlock* findBlock(const std::vector<TextBlock>&, std::string_view key);
 
-/// The block's text, or an empty one if there is no block, so that versions of a block compare by what they say.
-std::string_view textOf(const TextBlock*);
+/// Returns the block's text, or an empty text if `block` is null, so that a removed block compares like an empty one.
+std::string_view textOrEmpty(const TextBlock*);
 
 } // namespace Greengage
--- a/modules/config/model/AccessKey.h
+++ b/modules/config/model/AccessKey.h
@@ -6,8 +6,8 @@
 
 namespace Greengage {
 
-/// A key that a team's callers show. A caller shows "<name>.<secret>"; the document holds only a salted digest.
-/// Withdrawing a key removes its section.
+/// A key that authenticates the callers of a team. A caller presents "<name>.<secret>"; the document contains only a
+/// salted digest of the secret. A key is revoked by removing its section.
 struct AccessKey {
     KeyId name;
     std::string owner;
--- a/modules/config/model/ChangeSummary.h
+++ b/modules/config/model/ChangeSummary.h
@@ -6,10 +6,10 @@
 
 namespace Greengage {
 
-/// One accepted change of the document. Its whole text stands in the store under "config/history/<changeId>".
+/// One accepted change of the document. The store keeps the full text under "config/history/<changeId>".
 struct ChangeSummary {
     std::uint64_t revision = 0;
-    /// Chosen at random by whoever submits, so that a change whose answer was lost can be recognised as made.
+    /// Chosen at random by the submitter, so that a submission repeated after a lost answer is recognised as accepted.
     std::string changeId;
     std::string author;
     /// Milliseconds since the Unix epoch, by the clock of the daemon that accepted the change.
--- a/modules/config/model/Document.h
+++ b/modules/config/model/Document.h
@@ -12,10 +12,10 @@
 
 namespace Greengage {
 
-/// The operators' document, parsed and checked. Every reference in it names an entity that exists, and every name is
-/// unique among its kind.
+/// The operators' document, parsed and validated. Every reference names an existing entity, and every name is unique
+/// within its kind.
 struct Document {
-    /// Revision under which the store accepted the text; 0 for a text that has not been submitted.
+    /// Revision under which the text was accepted; 0 for a text that has not been accepted.
     std::uint64_t revision = 0;
     std::vector<Service> services;
     std::vector<Pool> pools;
--- a/modules/config/model/DocumentRecord.h
+++ b/modules/config/model/DocumentRecord.h
@@ -8,11 +8,11 @@
 
 namespace Greengage {
 
-/// What the store keeps under the key "config/document": the text in force and who changed what of late.
+/// The value that the store keeps under the key "config/document": the current text and its most recent changes.
 struct DocumentRecord {
-    /// Grows by one with each accepted change.
+    /// Incremented by one with each accepted change.
     std::uint64_t revision = 0;
-    /// The newest changes, the last one first. Its first entry made this revision.
+    /// The most recent changes, newest first. The first entry created this revision.
     std::vector<ChangeSummary> changes;
     std::string text;
 };
--- a/modules/config/model/Pool.h
+++ b/modules/config/model/Pool.h
@@ -7,14 +7,14 @@
 
 namespace Greengage {
 
-/// A set of VMs that do the same work. A VM stands in exactly one pool of a document; the parser refuses it in two.
+/// A set of VMs that do the same work. The parser rejects a document that lists a VM more than once.
 struct Pool {
     PoolId name;
     std::string owner;
-    /// The service that the pool's VMs are endpoints of; empty for a spare pool or a pool of workers.
+    /// The service whose endpoints run on the pool's VMs; empty for a spare pool or a pool of workers.
     ServiceId service;
     std::vector<VmId> vms;
-    /// Line of the section's header in the document, from 1.
+    /// Line of the section's header in the document, counted from 1.
     int line = 0;
 };
 
--- a/modules/config/model/Queue.h
+++ b/modules/config/model/Queue.h
@@ -9,9 +9,9 @@
 
 /// Who may submit to a queue.
 enum class QueueAccess {
-    /// Only callers that show a valid key of a team.
+    /// Only callers that present a team's valid key.
     Keyed,
-    /// Everybody. Work without a key counts for the queue's own team.
+    /// Everybody. Requests without a key are accounted to the queue's own team.
     Open,
 };
 
@@ -22,7 +22,7 @@
     } };
 };
 
-/// How urgent the work of a queue is.
+/// The priority of a queue's requests, highest first.
 enum class Priority {
     Urgent,
     Normal,
@@ -37,18 +37,18 @@
     } };
 };
 
-/// A named entrance for requests to one service.
+/// A named queue that accepts requests for one service.
 struct Queue {
     QueueId name;
     std::string owner;
     ServiceId service;
     QueueAccess access = QueueAccess::Keyed;
     Priority priority = Priority::Normal;
-    /// Whether a request may be sent to a second endpoint after the first may have begun it.
+    /// Whether a request may be sent to another endpoint although an earlier one may already have started it.
     bool idempotent = false;
-    /// Longest time a caller may ask a request to wait and run, in milliseconds.
+    /// Longest deadline that a caller may set for a request, waiting and running together, in milliseconds.
     int maxDeadlineMilliseconds = 30000;
-    /// How many requests of one team may wait in one daemon.
+    /// Maximum number of requests of one team that may wait in one daemon.
     int maxWaitingPerTeam = 256;
     int line = 0;
 };
--- a/modules/config/model/Team.h
+++ b/modules/config/model/Team.h
@@ -6,14 +6,14 @@
 
 namespace Greengage {
 
-/// A group of callers, with its share for when the fleet is full and its upper limit across the whole fleet.
+/// A group of callers, with its share of the fleet under contention and its limit across the whole fleet.
 struct Team {
     TeamId name;
     std::string owner;
     WorkspaceId workspace;
-    /// Weight of the team when everything is full; above 0.
+    /// Relative weight of the team when the fleet is fully used; above 0.
     double share = 1.0;
-    /// How many requests of the team may run at once in the whole fleet; 0 stops the team.
+    /// Maximum number of the team's requests that may run at once in the whole fleet; 0 stops the team.
     int limit = 0;
     int line = 0;
 };
--- a/modules/config/model/Wave.h
+++ b/modules/config/model/Wave.h
@@ -8,7 +8,7 @@
 
 namespace Greengage {
 
-/// What a wave does to each VM once it is drained.
+/// What a wave does with each drained VM.
 enum class WaveAction {
     Reboot,
     /// Moves the VM to the pool named by `target`.
@@ -22,17 +22,17 @@
     } };
 };
 
-/// A maintenance wave over the VMs of some pools.
+/// A maintenance wave: takes the VMs of some pools out of service, a few at a time, to reboot or move them.
 struct Wave {
     WaveId name;
     std::string owner;
     std::vector<PoolId> pools;
     WaveAction action = WaveAction::Reboot;
-    /// Destination of a Move; empty for a Reboot.
+    /// Destination pool of a Move; empty for a Reboot.
     PoolId target;
-    /// How many VMs the wave may have out of service at once; the services' budgets bind as well.
+    /// Maximum number of VMs that the wave takes out of service at once; the services' availability budgets apply too.
     int maxConcurrent = 1;
-    /// How long a VM may take to drain before the wave puts it back and reports it, in seconds.
+    /// Time that a VM may take to drain before the wave returns it to service and reports it as stuck, in seconds.
     int drainTimeoutSeconds = 60;
     int line = 0;
 };
--- a/modules/config/settings/AdminSettings.h
+++ b/modules/config/settings/AdminSettings.h
@@ -5,7 +5,7 @@
 
 namespace Greengage {
 
-/// The HTTP server that operators connect to, and the salted digest of the operators' key.
+/// Settings of the HTTP server for operators, with the salted digest of the operators' key.
 struct AdminSettings {
     std::uint16_t port = 0;
     std::string keySalt;
--- a/modules/config/settings/CallerSettings.h
+++ b/modules/config/settings/CallerSettings.h
@@ -4,14 +4,14 @@
 
 namespace Greengage {
 
-/// The HTTP server that callers connect to.
+/// Settings of the HTTP server for callers.
 struct CallerSettings {
     std::uint16_t port = 0;
-    /// Connections beyond this number wait in the kernel until one is closed.
+    /// Maximum number of open connections. Further ones wait in the kernel's backlog until one is closed.
     int maxConnections = 2048;
     int maxHeaderBytes = 16 * 1024;
     int maxBodyBytes = 1024 * 1024;
-    /// How long a connection may be silent before it is closed, in milliseconds.
+    /// Time after which an idle connection is closed, in milliseconds.
     int idleTimeoutMilliseconds = 60'000;
 };
 
--- a/modules/config/settings/DaemonSettings.h
+++ b/modules/config/settings/DaemonSettings.h
@@ -11,18 +11,18 @@
 
 namespace Greengage {
 
-/// What a daemon learns at start from its settings file. It stays as it is until the daemon is started anew.
+/// The settings that a daemon reads from its settings file at startup. They do not change until it restarts.
 struct DaemonSettings {
     DaemonId name;
-    /// Availability zone that the daemon's VM stands in.
+    /// Availability zone of the VM that the daemon runs on.
     ZoneId zone;
-    /// Address that every server of the daemon listens on and every connection of it comes from.
+    /// Address on which all servers of the daemon listen and from which it opens its connections.
     std::string address;
     LogLevel logLevel = LogLevel::Info;
     CallerSettings callers;
     AdminSettings admin;
     MeshSettings mesh;
-    /// The platform's key-value service.
+    /// Address of the platform's key-value service.
     SocketAddress store;
 };
 
--- a/modules/config/settings/MeshSettings.h
+++ b/modules/config/settings/MeshSettings.h
@@ -7,12 +7,12 @@
 
 namespace Greengage {
 
-/// The port for messages between daemons.
+/// Settings for messages between daemons.
 struct MeshSettings {
     std::uint16_t port = 0;
-    /// Where other daemons reach this one; the daemon's own address and mesh port unless set.
+    /// Address at which other daemons reach this one; by default the daemon's address and mesh port.
     SocketAddress advertised;
-    /// Daemons to ask while the store is out and tells of none.
+    /// Daemons to contact while the store is unavailable and cannot list the members.
     std::vector<SocketAddress> peers;
 };
 
--- a/modules/config/settings/SettingsParser.cpp
+++ b/modules/config/settings/SettingsParser.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr int highestPort = 65535;
+constexpr int maxPort = 65535;
 constexpr int maxConnections = 1'000'000;
 constexpr int minHeaderBytes = 1024;
 constexpr int maxHeaderBytes = 1024 * 1024;
@@ -28,7 +28,7 @@
 
 std::uint16_t readPort(SectionReader& reader, std::string_view key, std::optional<int> fallback = std::nullopt)
 {
-    return static_cast<std::uint16_t>(reader.integer(key, 1, highestPort, fallback));
+    return static_cast<std::uint16_t>(reader.integer(key, 1, maxPort, fallback));
 }
 
 void readDaemon(SectionReader& reader, DaemonSettings& settings)
@@ -83,11 +83,11 @@
             errors.list.push_back({ section->header, {}, section->line, std::move(message) });
         };
         if (std::ranges::find(sectionNames, section->header) == sectionNames.end())
-            report("unknown section; the settings have [daemon], [log], [callers], [admin], [mesh] and [store]");
+            report("unknown section; expected one of [daemon], [log], [callers], [admin], [mesh] and [store]");
         auto earlier = std::find_if(
             file.sections.begin(), section, [&](const IniSection& other) { return other.header == section->header; });
         if (earlier != section)
-            report(fmt::format("the section stands twice, first on line {}; merge the two", earlier->line));
+            report(fmt::format("the section appears twice, first on line {}; merge the two", earlier->line));
     }
 }
 
@@ -96,7 +96,8 @@
 Result<DaemonSettings, ConfigErrors> SettingsParser::parse(std::string_view text) const
 {
     using Read = void (*)(SectionReader&, DaemonSettings&);
-    // The mesh section falls back to the daemon's address, so it is read after it.
+    // The mesh section is read after the daemon section, because its advertised address defaults to the daemon's
+    // address.
     static constexpr std::array<Read, sectionNames.size()> readers { readDaemon, readLog, readCallers, readAdmin,
         readMesh, readStore };
     auto file = IniParser().parse(text);
--- a/modules/config/settings/SettingsParser.h
+++ b/modules/config/settings/SettingsParser.h
@@ -9,14 +9,14 @@
 
 namespace Greengage {
 
-/// Parses and checks the settings of a daemon. Unknown sections and keys, missing keys, wrong types and values out of
-/// range are all returned together; `ConfigErrors::describe` prints them with the file's name.
+/// Parses and validates the settings of a daemon. All errors (unknown sections and keys, missing keys, wrong types and
+/// values out of range) are returned together; `ConfigErrors::describe` formats them with the file's name.
 class SettingsParser {
 public:
     Result<DaemonSettings, ConfigErrors> parse(std::string_view text) const;
 
-    /// Reads and parses a file. A file that cannot be read, or is larger than `maxSettingsBytes`, is an error of line
-    /// 0.
+    /// Reads and parses a file. A file that cannot be read, is empty or is larger than `maxSettingsBytes` yields an
+    /// error with line 0.
     Result<DaemonSettings, ConfigErrors> parseFile(const std::string& path) const;
 };
 
--- a/modules/config/settings/SocketAddress.h
+++ b/modules/config/settings/SocketAddress.h
@@ -5,7 +5,7 @@
 
 namespace Greengage {
 
-/// An IP address in numbers with a port.
+/// A numeric IP address with a port.
 struct SocketAddress {
     std::string address;
     std::uint16_t port = 0;
--- a/modules/config/tests/DocumentAcceptanceTests.cpp
+++ b/modules/config/tests/DocumentAcceptanceTests.cpp
@@ -20,16 +20,16 @@
     return std::get<AcceptedChange>(outcome).record;
 }
 
-std::string refusal(const AcceptanceOutcome& outcome)
+std::string errorsOf(const AcceptanceOutcome& outcome)
 {
-    return std::holds_alternative<ConfigErrors>(outcome) ? std::get<ConfigErrors>(outcome).describe("") : "no refusal";
+    return std::holds_alternative<ConfigErrors>(outcome) ? std::get<ConfigErrors>(outcome).describe("") : "no errors";
 }
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(Acceptance)
 
-BOOST_AUTO_TEST_CASE(changesFollowEachOther)
+BOOST_AUTO_TEST_CASE(eachAcceptedChangeGetsTheNextRevision)
 {
     auto first = accept({}, { "c1", "jana", 0, team("a", 1) });
     BOOST_TEST(first.revision == 1U);
@@ -41,7 +41,7 @@
     BOOST_TEST(second.changes.at(0).author == "ivo");
 }
 
-BOOST_AUTO_TEST_CASE(sameChangeIsMadeOnce)
+BOOST_AUTO_TEST_CASE(repeatedChangeIdIsAcceptedOnce)
 {
     auto first = accept({}, { "c1", "jana", 0, team("a", 1) });
     auto second = accept(first, { "c2", "ivo", 1, team("a", 2) });
@@ -50,7 +50,7 @@
     BOOST_TEST(std::get<AlreadyInForce>(again).revision == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(conflictNamesWhoChangedTheSectionAtWhichRevision)
+BOOST_AUTO_TEST_CASE(conflictNamesSectionAuthorAndRevision)
 {
     auto base = team("a", 1) + "\n" + team("b", 1);
     auto first = accept({}, { "c1", "jana", 0, base });
@@ -67,20 +67,19 @@
     BOOST_TEST(fourth.text == team("a", 2) + "\n" + team("b", 3) + "\n" + team("c", 1));
 }
 
-BOOST_AUTO_TEST_CASE(mergeThatBreaksTheDocumentIsRefused)
+BOOST_AUTO_TEST_CASE(mergeThatMakesTheDocumentInvalidIsRejected)
 {
     auto base = team("a", 1) + "\n" + team("b", 1);
     auto first = accept({}, { "c1", "jana", 0, base });
     auto second = accept(first, { "c2", "ivo", 1, team("b", 1) });
     auto key = "\n[key k]\nowner = o\nteam = a\nsalt = 0123456789abcdef\ndigest = " + std::string(64, '0') + "\n";
     auto outcome = DocumentAcceptance::judge(second, base, { "c3", "eva", 1, base + key }, 1000);
-    BOOST_TEST(refusal(outcome)
-        == ":9: [key k] team: combined with revision 2, which others have made meanwhile: there is no section [team "
-           "a]; "
-           "add it or name one that exists\n");
+    BOOST_TEST(errorsOf(outcome)
+        == ":9: [key k] team: after merging with revision 2, which others submitted meanwhile: there is no section "
+           "[team a]; add it or use the name of an existing one\n");
 }
 
-BOOST_AUTO_TEST_CASE(lineOfChangesKeepsTheNewest)
+BOOST_AUTO_TEST_CASE(recordKeepsTheNewestChanges)
 {
     DocumentRecord record;
     for (int index = 1; index <= 40; ++index)
@@ -89,13 +88,14 @@
     BOOST_TEST(record.changes.back().revision == 9U);
     DocumentSubmission old { "x", "jana", 8, team("a", 99) };
     BOOST_TEST(!DocumentAcceptance::baseChange(record, old).has_value());
-    BOOST_TEST(refusal(DocumentAcceptance::judge(record, {}, old, 0)).find("older than the changes that are kept")
+    BOOST_TEST(errorsOf(DocumentAcceptance::judge(record, {}, old, 0)).find("older than the changes that are kept")
         != std::string::npos);
     old.baseRevision = 41;
-    BOOST_TEST(refusal(DocumentAcceptance::judge(record, {}, old, 0)).find("the newest is 40") != std::string::npos);
+    BOOST_TEST(
+        errorsOf(DocumentAcceptance::judge(record, {}, old, 0)).find("the newest revision is 40") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(valueStaysBelowTheStoresLimit)
+BOOST_AUTO_TEST_CASE(encodedRecordStaysBelowTheStoresLimit)
 {
     std::string text;
     for (int index = 0; text.size() < 950'000; ++index)
@@ -112,10 +112,10 @@
     BOOST_TEST(record.changes.size() >= DocumentAcceptance::minChanges);
     BOOST_TEST(record.changes.size() < DocumentAcceptance::maxChanges);
     auto outcome = DocumentAcceptance::judge(record, {}, { "big", "jana", 40, text + text }, 0);
-    BOOST_TEST(refusal(outcome).find("shorten it") != std::string::npos);
+    BOOST_TEST(errorsOf(outcome).find("shorten the document") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(wrongSubmissionsAreRefused)
+BOOST_AUTO_TEST_CASE(invalidSubmissionsAreRejected)
 {
     auto outcome = DocumentAcceptance::judge({}, {}, { "a/b", "", 0, "x" }, 0);
     BOOST_REQUIRE(std::holds_alternative<ConfigErrors>(outcome));
@@ -129,7 +129,7 @@
     BOOST_TEST((AdminCodec::decodeConflicts(AdminCodec::encodeConflicts(conflicts)).value().list == conflicts.list));
 }
 
-BOOST_AUTO_TEST_CASE(statusSurvivesEncoding)
+BOOST_AUTO_TEST_CASE(statusRoundTripsThroughJson)
 {
     StatusReport report;
     report.daemon = DaemonId("brno-1");
@@ -143,7 +143,7 @@
     BOOST_TEST(StatusCodec::encode(decoded.value()) == json);
     auto mistyped = json;
     mistyped.replace(mistyped.find("\"running\":2"), 11, "\"running\":[]");
-    BOOST_TEST(StatusCodec::decode(mistyped).error().message == "the member running must be a whole number");
+    BOOST_TEST(StatusCodec::decode(mistyped).error().message == "member \"running\" must be a whole number");
     auto answer = AdminCodec::decodeAnswer(AdminCodec::encodeAnswer({ 4, false, { "brno-2" } }));
     BOOST_TEST(answer.value().behind.at(0) == "brno-2");
 }
--- a/modules/config/tests/DocumentPageTests.cpp
+++ b/modules/config/tests/DocumentPageTests.cpp
@@ -16,16 +16,16 @@
     return { std::istreambuf_iterator<char>(stream), {} };
 }
 
-/// The keys that a kind of section has, as the fault about an unknown key lists them.
+/// Returns the keys of a kind of section, taken from the error about an unknown key, which lists them.
 std::string keysOf(const std::string& kind)
 {
-    const std::string before = "this section has: ";
+    const std::string prefix = "this section has: ";
     auto parsed = DocumentParser().parse("[" + kind + " a]\nunknown = 1\n");
     BOOST_REQUIRE(parsed.has_error());
     for (const auto& error : parsed.error().list) {
-        auto place = error.message.find(before);
-        if (place != std::string::npos)
-            return error.message.substr(place + before.size());
+        auto position = error.message.find(prefix);
+        if (position != std::string::npos)
+            return error.message.substr(position + prefix.size());
     }
     return {};
 }
--- a/modules/config/tests/KeyTests.cpp
+++ b/modules/config/tests/KeyTests.cpp
@@ -7,17 +7,17 @@
 
 BOOST_AUTO_TEST_SUITE(Keys)
 
-BOOST_AUTO_TEST_CASE(onlyTheShownKeyVerifies)
+BOOST_AUTO_TEST_CASE(onlyTheGeneratedKeyIsAccepted)
 {
     auto key = KeyGenerator::generate(KeyId("desk-1"), TeamId("desk"), "operations");
     auto text = "[team desk]\nowner = o\nworkspace = w\nshare = 1\nlimit = 4\n" + KeyGenerator::sectionText(key.stored);
     auto document = DocumentParser().parse(text);
     BOOST_REQUIRE(document.has_value());
     KeyVerifier verifier(document.value());
-    auto holder = verifier.verify(key.shown);
-    BOOST_REQUIRE(holder.has_value());
-    BOOST_TEST(holder->team.string() == "desk");
-    BOOST_TEST(holder->key.string() == "desk-1");
+    auto verified = verifier.verify(key.shown);
+    BOOST_REQUIRE(verified.has_value());
+    BOOST_TEST(verified->team.string() == "desk");
+    BOOST_TEST(verified->key.string() == "desk-1");
     auto secret = key.shown.substr(key.shown.find('.') + 1);
     BOOST_TEST(text.find(secret) == std::string::npos);
     for (const std::string& wrong : { std::string(), std::string("desk-1"), std::string("desk-1."), "desk-2." + secret,
@@ -26,7 +26,7 @@
     BOOST_TEST(!KeyVerifier().verify(key.shown).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(keysAreNeverAlike)
+BOOST_AUTO_TEST_CASE(generatedKeysDiffer)
 {
     auto first = KeyGenerator::generate(KeyId("k"), TeamId("t"), "o");
     auto second = KeyGenerator::generate(KeyId("k"), TeamId("t"), "o");
--- a/modules/config/tests/SectionMergeTests.cpp
+++ b/modules/config/tests/SectionMergeTests.cpp
@@ -16,9 +16,9 @@
 
 std::string replaced(std::string text, const std::string& from, const std::string& to)
 {
-    auto place = text.find(from);
-    BOOST_REQUIRE(place != std::string::npos);
-    return text.replace(place, from.size(), to);
+    auto position = text.find(from);
+    BOOST_REQUIRE(position != std::string::npos);
+    return text.replace(position, from.size(), to);
 }
 
 std::string joined(const std::vector<std::string>& parts)
@@ -33,7 +33,7 @@
 
 BOOST_AUTO_TEST_SUITE(SectionMerging)
 
-BOOST_AUTO_TEST_CASE(blocksGiveTheTextAgain)
+BOOST_AUTO_TEST_CASE(joinedBlocksRestoreTheText)
 {
     auto blocks = divideIntoBlocks(base);
     BOOST_TEST(joinBlocks(blocks) == base);
@@ -42,7 +42,7 @@
     BOOST_TEST(blocks[4].text == "; ---- keys ----\n[key k]\nteam = desk\n");
 }
 
-BOOST_AUTO_TEST_CASE(editsOfDifferentSectionsBothStayWithTheirComments)
+BOOST_AUTO_TEST_CASE(editsOfDifferentSectionsAreBothKeptWithTheirComments)
 {
     auto mine = replaced(base, "limit = 2", "; doubled for the season\nlimit = 4");
     auto current = replaced(base, "share = 3\n", "share = 5\n\n[team day]\nshare = 9\n");
@@ -59,7 +59,7 @@
     BOOST_TEST(joined(SectionMerge::merge(base, mine, current).conflicts) == "team desk");
 }
 
-BOOST_AUTO_TEST_CASE(removalAgainstEditConflictsAndRemovalAloneStays)
+BOOST_AUTO_TEST_CASE(removalConflictsWithEditOfTheSameSectionOnly)
 {
     auto removed = replaced(base, "\n[team night]\nshare = 3\n", "");
     auto edited = replaced(base, "share = 3", "share = 4");
@@ -91,28 +91,28 @@
     BOOST_TEST((changes[2].kind == SectionChangeKind::Removed));
 }
 
-/// Random edits of disjoint sections by two operators: the merge holds every edit of both, whichever came first.
+/// Two operators make random edits to disjoint sections. The merge must contain all edits of both, in either order.
 BOOST_AUTO_TEST_CASE(disjointEditsCommute)
 {
     std::mt19937 random(20261204);
-    for (int round = 0; round < 200; ++round) {
+    for (int trial = 0; trial < 200; ++trial) {
         std::string original, mine, current;
         for (int index = 0; index < 8; ++index) {
             auto header = "; note " + std::to_string(index) + "\n[team t" + std::to_string(index) + "]\n";
             auto plain = header + "share = 1\n\n";
             auto edited
                 = random() % 4 == 0 ? std::string() : header + "share = " + std::to_string(random() % 9 + 2) + "\n\n";
-            auto who = random() % 3;
+            auto editor = random() % 3;
             original += plain;
-            mine += who == 1 ? edited : plain;
-            current += who == 2 ? edited : plain;
+            mine += editor == 1 ? edited : plain;
+            current += editor == 2 ? edited : plain;
         }
-        auto forth = SectionMerge::merge(original, mine, current);
-        auto back = SectionMerge::merge(original, current, mine);
-        BOOST_REQUIRE(forth.conflicts.empty());
+        auto merged = SectionMerge::merge(original, mine, current);
+        auto mergedInReverse = SectionMerge::merge(original, current, mine);
+        BOOST_REQUIRE(merged.conflicts.empty());
         auto changed = changedSections(original, mine).size() + changedSections(original, current).size();
-        BOOST_REQUIRE(changedSections(original, forth.text).size() == changed);
-        BOOST_REQUIRE(changedSections(forth.text, back.text).empty());
+        BOOST_REQUIRE(changedSections(original, merged.text).size() == changed);
+        BOOST_REQUIRE(changedSections(merged.text, mergedInReverse.text).empty());
     }
 }
 
--- a/modules/config/tests/SettingsParserTests.cpp
+++ b/modules/config/tests/SettingsParserTests.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-std::string faultsOf(std::string_view text)
+std::string errorsOf(std::string_view text)
 {
     auto parsed = SettingsParser().parse(text);
     return parsed.has_value() ? "none" : parsed.error().describe("daemon.ini");
@@ -17,7 +17,7 @@
 
 BOOST_AUTO_TEST_SUITE(SettingsParsing)
 
-BOOST_AUTO_TEST_CASE(exampleSettingsAreRight)
+BOOST_AUTO_TEST_CASE(exampleSettingsAreValid)
 {
     auto parsed = SettingsParser().parseFile(SOURCE_ROOT "/examples/brno/daemon-1.ini");
     BOOST_REQUIRE(parsed.has_value());
@@ -30,24 +30,27 @@
     BOOST_TEST(KeyVerifier::matches("demo-operator", settings.admin.keySalt, settings.admin.keyDigest));
 }
 
-BOOST_AUTO_TEST_CASE(faultsNameFileSectionKeyAndLine)
+BOOST_AUTO_TEST_CASE(errorsNameFileSectionKeyAndLine)
 {
     BOOST_TEST(
-        faultsOf("[daemon]\nname = a\nzone = z\naddress = localhost\n[log]\nlevel = loud\n[callers]\nport = 70000\n"
+        errorsOf("[daemon]\nname = a\nzone = z\naddress = localhost\n[log]\nlevel = loud\n[callers]\nport = 70000\n"
                  "speed = 9\n[admin]\nport = 2\nkey_salt = ab\n[mesh]\nport = 3\npeers = 1.2.3.4\n[stoer]\n[log]\n")
         == "daemon.ini: [store] address: missing; this section needs it\n"
            "daemon.ini: [store] port: missing; this section needs it\n"
-           "daemon.ini:4: [daemon] address: \"localhost\" is not right; an IP address in numbers, such as 10.0.0.1\n"
-           "daemon.ini:6: [log] level: \"loud\" is not right; one of: debug, info, warning, error\n"
+           "daemon.ini:4: [daemon] address: \"localhost\" is not right; expected a numeric IP address, such as "
+           "10.0.0.1\n"
+           "daemon.ini:6: [log] level: \"loud\" is not right; expected one of: debug, info, warning, error\n"
            "daemon.ini:8: [callers] port: \"70000\" is not right; a whole number from 1 to 65535\n"
            "daemon.ini:9: [callers] speed: unknown key; this section has: idle_timeout_ms, max_body_bytes, "
            "max_connections, max_header_bytes, port\n"
            "daemon.ini:10: [admin] key_digest: missing; this section needs it\n"
-           "daemon.ini:12: [admin] key_salt: 2 characters; 16 to 128 lower-case hexadecimal digits\n"
-           "daemon.ini:15: [mesh] peers: \"1.2.3.4\" is not right; an IP address with a port, such as 10.0.0.1:7000\n"
-           "daemon.ini:16: [stoer] unknown section; the settings have [daemon], [log], [callers], [admin], [mesh] and "
+           "daemon.ini:12: [admin] key_salt: the value has 2 characters; expected an even number of lower-case "
+           "hexadecimal digits (16 to 128)\n"
+           "daemon.ini:15: [mesh] peers: \"1.2.3.4\" is not right; expected an IP address with a port, such as "
+           "10.0.0.1:7000\n"
+           "daemon.ini:16: [stoer] unknown section; expected one of [daemon], [log], [callers], [admin], [mesh] and "
            "[store]\n"
-           "daemon.ini:17: [log] the section stands twice, first on line 5; merge the two\n");
+           "daemon.ini:17: [log] the section appears twice, first on line 5; merge the two\n");
 }
 
 BOOST_AUTO_TEST_CASE(unreadableFileIsReported)
@@ -55,7 +58,7 @@
     auto parsed = SettingsParser().parseFile(SOURCE_ROOT "/examples/absent.ini");
     BOOST_REQUIRE(parsed.has_error());
     BOOST_TEST(parsed.error().describe("absent.ini")
-        == "absent.ini: the file cannot be read or is empty; name a settings file\n");
+        == "absent.ini: the file cannot be read or is empty; expected the name of a settings file\n");
     BOOST_TEST(SettingsParser().parseFile(SOURCE_ROOT).has_error());
 }
 
