--- a/modules/config/admin/StatusReport.h
+++ b/modules/config/admin/StatusReport.h
@@ -21,7 +21,7 @@
     std::uint64_t inForceRevision = 0;
     /// Whether the store has answered this daemon recently.
     bool storeReachable = false;
-    /// Whether its configuration is recent enough to serve queues that require a key.
+    /// Whether its copy of the document is recent enough to serve queues that require a key.
     bool fresh = false;
     std::vector<DaemonStatus> daemons;
     std::vector<WaveStatus> waves;
