--- a/modules/daemon/maintenance/MaintenanceDriver.cpp
+++ b/modules/daemon/maintenance/MaintenanceDriver.cpp
@@ -77,7 +77,7 @@
         void operator()(const UpdateLedger& update) const { this->driver.updateLedger(update); }
         void operator()(const RebootVm& reboot) const { this->driver.reboot(reboot); }
         void operator()(const MoveVm& move) const { this->driver.mover.move(move); }
-        void operator()(const AskRunning& question) const { this->driver.handlers.askRunning(question); }
+        void operator()(const QueryRunning& query) const { this->driver.handlers.queryRunning(query); }
         void operator()(const CommandSettled& settled) const { this->driver.settle(settled); }
         void operator()(const WaveEvent& event) const
         {
--- a/modules/daemon/maintenance/MaintenanceDriver.h
+++ b/modules/daemon/maintenance/MaintenanceDriver.h
@@ -22,8 +22,8 @@
 class MaintenanceDriver {
 public:
     struct Handlers {
-        /// Asks an endpoint which attempts it runs.
-        std::function<void(const AskRunning&)> askRunning;
+        /// Queries an endpoint for the attempts that it runs.
+        std::function<void(const QueryRunning&)> queryRunning;
         /// Called when the ledger has changed, which decides the VMs that get no new work.
         std::function<void(const MaintenanceLedger&)> onLedgerChanged;
         /// Called with a record that holds a moved VM and has been stored.
--- a/modules/daemon/process/Daemon.cpp
+++ b/modules/daemon/process/Daemon.cpp
@@ -132,12 +132,12 @@
     PeerExchange::Handlers handlers;
     handlers.onExchangeStarting = [this] {
         Instant now = BootClock::now();
-        this->maintenance.push(PeerHeard { this->plane.describe(now), now });
+        this->maintenance.push(PeerStateReceived { this->plane.describe(now), now });
     };
     handlers.onStateReceived = [this](PeerState state, Instant askedAt) {
         this->peers.record(state, askedAt);
-        this->maintenance.push(PeerHeard { state, askedAt });
-        this->push(PeerHeard { std::move(state), askedAt });
+        this->maintenance.push(PeerStateReceived { state, askedAt });
+        this->push(PeerStateReceived { std::move(state), askedAt });
     };
     handlers.appliedRevision = [this] { return this->documents.known().appliedRevision(); };
     handlers.onDocumentFetched = [this](const DocumentRecord& record) { this->documents.offer(record, "peer"); };
@@ -217,7 +217,7 @@
         void operator()(const AnswerCaller& answer) const { this->daemon.gateway.answer(answer); }
         void operator()(const WriteClaim& claim) const { this->daemon.claims.write(claim); }
         void operator()(const UpdateAllotments& update) const { this->daemon.allotments.update(update); }
-        void operator()(const AskRunning& question) const { this->daemon.gateway.askRunning(question); }
+        void operator()(const QueryRunning& query) const { this->daemon.gateway.queryRunning(query); }
     };
     std::visit(Executor { *this }, output);
 }
@@ -281,7 +281,7 @@
 MaintenanceDriver::Handlers Daemon::maintenanceHandlers()
 {
     MaintenanceDriver::Handlers handlers;
-    handlers.askRunning = [this](const AskRunning& question) { this->gateway.askRunning(question); };
+    handlers.queryRunning = [this](const QueryRunning& query) { this->gateway.queryRunning(query); };
     handlers.onLedgerChanged = [this](const MaintenanceLedger&) {
         // Only the ledger changed: the maintenance plane would take a pushed listing for a newly read list of VMs.
         this->push(this->makeEndpointListing());
--- a/modules/fleet/maintenance/MaintenanceInput.h
+++ b/modules/fleet/maintenance/MaintenanceInput.h
@@ -8,15 +8,15 @@
 #include <fleet/requests/messages/DocumentApplied.h>
 #include <fleet/requests/messages/EndpointsListed.h>
 #include <fleet/requests/messages/MembersListed.h>
-#include <fleet/requests/messages/PeerHeard.h>
+#include <fleet/requests/messages/PeerStateReceived.h>
 #include <fleet/requests/messages/RunningReported.h>
 
 #include <variant>
 
 namespace Greengage {
 
-/// Every input message of the maintenance plane. PeerHeard and MembersListed include this daemon itself.
-using MaintenanceInput = std::variant<DocumentApplied, EndpointsListed, MembersListed, PeerHeard, RunningReported,
-    LedgerRead, LedgerReadFailed, LedgerWriteFailed, RebootReported, WaveCommanded>;
+/// Every input message of the maintenance plane. PeerStateReceived and MembersListed include this daemon itself.
+using MaintenanceInput = std::variant<DocumentApplied, EndpointsListed, MembersListed, PeerStateReceived,
+    RunningReported, LedgerRead, LedgerReadFailed, LedgerWriteFailed, RebootReported, WaveCommanded>;
 
 } // namespace Greengage
--- a/modules/fleet/maintenance/MaintenanceOutput.h
+++ b/modules/fleet/maintenance/MaintenanceOutput.h
@@ -7,14 +7,14 @@
 #include <fleet/maintenance/messages/RebootVm.h>
 #include <fleet/maintenance/messages/UpdateLedger.h>
 #include <fleet/maintenance/messages/WaveEvent.h>
-#include <fleet/requests/messages/AskRunning.h>
+#include <fleet/requests/messages/QueryRunning.h>
 
 #include <variant>
 
 namespace Greengage {
 
 /// Every output message of the maintenance plane.
-using MaintenanceOutput
-    = std::variant<ReadLedger, UpdateLedger, RebootVm, MoveVm, AskRunning, CommandSettled, WaveEvent, LedgerUnreadable>;
+using MaintenanceOutput = std::variant<ReadLedger, UpdateLedger, RebootVm, MoveVm, QueryRunning, CommandSettled,
+    WaveEvent, LedgerUnreadable>;
 
 } // namespace Greengage
--- a/modules/fleet/maintenance/MaintenancePlane.cpp
+++ b/modules/fleet/maintenance/MaintenancePlane.cpp
@@ -240,7 +240,7 @@
                 continue;
             for (const auto& vm : pool.vms) {
                 if (const auto* record = this->view.record(vm))
-                    this->outputs.emplace_back(AskRunning { vm, record->address, record->port });
+                    this->outputs.emplace_back(QueryRunning { vm, record->address, record->port });
             }
         }
     }
--- a/modules/fleet/maintenance/systems/FleetView.cpp
+++ b/modules/fleet/maintenance/systems/FleetView.cpp
@@ -4,7 +4,7 @@
 #include <fleet/requests/messages/DocumentApplied.h>
 #include <fleet/requests/messages/EndpointsListed.h>
 #include <fleet/requests/messages/MembersListed.h>
-#include <fleet/requests/messages/PeerHeard.h>
+#include <fleet/requests/messages/PeerStateReceived.h>
 #include <fleet/requests/messages/RunningReported.h>
 
 #include <algorithm>
@@ -79,7 +79,7 @@
     }
 }
 
-void FleetView::apply(Instant, const PeerHeard& peer)
+void FleetView::apply(Instant, const PeerStateReceived& peer)
 {
     auto& observation = this->members[peer.state.incarnation];
     if (peer.askedAt < observation.stateAskedAt)
--- a/modules/fleet/maintenance/systems/FleetView.h
+++ b/modules/fleet/maintenance/systems/FleetView.h
@@ -18,7 +18,7 @@
 struct DocumentApplied;
 struct EndpointsListed;
 struct MembersListed;
-struct PeerHeard;
+struct PeerStateReceived;
 struct Pool;
 struct RunningReported;
 struct Service;
@@ -32,7 +32,7 @@
     void apply(Instant now, const DocumentApplied&);
     void apply(Instant now, const EndpointsListed&);
     void apply(Instant now, const MembersListed&);
-    void apply(Instant now, const PeerHeard&);
+    void apply(Instant now, const PeerStateReceived&);
     void apply(Instant now, const RunningReported&);
 
     /// Removes daemons that left long ago and determines the unreachable zones. Call it once per tick, after the
--- a/modules/fleet/peers/PeerSighting.h
+++ b/modules/fleet/peers/PeerObservation.h
@@ -6,7 +6,7 @@
 namespace Greengage {
 
 /// A daemon's observation of another daemon.
-struct PeerSighting {
+struct PeerObservation {
     IncarnationId incarnation;
     ZoneId zone;
     /// Time from the last observation, direct or by another daemon, to the creation of the message; the largest value
--- a/modules/fleet/peers/PeerState.h
+++ b/modules/fleet/peers/PeerState.h
@@ -2,7 +2,7 @@
 
 #include <core/text/Identifier.h>
 #include <core/time/Instant.h>
-#include <fleet/peers/PeerSighting.h>
+#include <fleet/peers/PeerObservation.h>
 #include <fleet/peers/TeamDemand.h>
 
 #include <cstdint>
@@ -29,7 +29,7 @@
     /// VMs out of service by that revision to which the daemon still has attempts in progress.
     std::vector<VmId> busyDrainingVms;
     std::vector<TeamDemand> demand;
-    std::vector<PeerSighting> sightings;
+    std::vector<PeerObservation> observations;
 };
 
 } // namespace Greengage
--- a/modules/fleet/placement/PlacementOutput.h
+++ b/modules/fleet/placement/PlacementOutput.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include <fleet/placement/messages/AskAttempt.h>
 #include <fleet/placement/messages/JobEnded.h>
+#include <fleet/placement/messages/QueryAttempt.h>
 #include <fleet/placement/messages/StartTask.h>
 #include <fleet/placement/messages/StopTask.h>
 #include <fleet/placement/messages/ThrottleTask.h>
@@ -12,6 +12,6 @@
 namespace Greengage {
 
 /// Every output message of the placement plane.
-using PlacementOutput = std::variant<StartTask, StopTask, AskAttempt, ThrottleTask, JobEnded, WorkerQuarantined>;
+using PlacementOutput = std::variant<StartTask, StopTask, QueryAttempt, ThrottleTask, JobEnded, WorkerQuarantined>;
 
 } // namespace Greengage
--- a/modules/fleet/placement/messages/StopTask.h
+++ b/modules/fleet/placement/messages/StopTask.h
@@ -7,7 +7,7 @@
 namespace Greengage {
 
 /// Tell a worker to end an attempt gracefully. With `checkpoint` it saves the attempt's work first. For an attempt that
-/// it does not run, the worker answers as to AskAttempt.
+/// it does not run, the worker answers as to QueryAttempt.
 struct StopTask {
     std::uint64_t attempt = 0;
     WorkerId worker;
--- a/modules/fleet/placement/systems/ReportSystem.cpp
+++ b/modules/fleet/placement/systems/ReportSystem.cpp
@@ -202,7 +202,7 @@
         attempt.lease = Deadline::after(tables.now, expiredAskInterval);
         if (hasJustExpired && entry && entry->job.idempotent && !entry->isWaiting)
             tables.enqueue(*entry);
-        tables.outputs.emplace_back(AskAttempt { number, attempt.worker, attempt.workerBoot });
+        tables.outputs.emplace_back(QueryAttempt { number, attempt.worker, attempt.workerBoot });
     }
 }
 
--- a/modules/fleet/requests/RequestOutput.h
+++ b/modules/fleet/requests/RequestOutput.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <fleet/requests/messages/AnswerCaller.h>
-#include <fleet/requests/messages/AskRunning.h>
+#include <fleet/requests/messages/QueryRunning.h>
 #include <fleet/requests/messages/SendAttempt.h>
 #include <fleet/requests/messages/UpdateAllotments.h>
 #include <fleet/requests/messages/WriteClaim.h>
@@ -11,6 +11,6 @@
 namespace Greengage {
 
 /// All outputs of the request plane.
-using RequestOutput = std::variant<SendAttempt, AnswerCaller, WriteClaim, UpdateAllotments, AskRunning>;
+using RequestOutput = std::variant<SendAttempt, AnswerCaller, WriteClaim, UpdateAllotments, QueryRunning>;
 
 } // namespace Greengage
--- a/modules/fleet/requests/RequestPlane.cpp
+++ b/modules/fleet/requests/RequestPlane.cpp
@@ -41,7 +41,7 @@
 
 private:
     static void handle(Tick& tick, const RequestArrived& message) { Admission(tick).admit(message); }
-    static void handle(Tick& tick, const CallerLeft& message) { RequestExpiry(tick).handle(message); }
+    static void handle(Tick& tick, const CallerDisconnected& message) { RequestExpiry(tick).handle(message); }
     static void handle(Tick& tick, const EndpointsListed& message) { EndpointTable(tick).handle(message); }
     static void handle(Tick& tick, const AttemptEnded& message) { AttemptTracker(tick).handle(message); }
 
@@ -67,7 +67,7 @@
     static void handle(Tick& tick, const ClaimSettled& message) { ClaimManager(tick).handle(message); }
     static void handle(Tick& tick, const AllotmentsRead& message) { LimitEscrow(tick).handle(message); }
     static void handle(Tick& tick, const AllotmentsWriteFailed& message) { LimitEscrow(tick).handle(message); }
-    static void handle(Tick& tick, const PeerHeard& message) { FreshnessFence(tick).handle(message); }
+    static void handle(Tick& tick, const PeerStateReceived& message) { FreshnessFence(tick).handle(message); }
 
     static void handle(Tick& tick, const MembersListed& message)
     {
--- a/modules/fleet/requests/attempts/AttemptTracker.cpp
+++ b/modules/fleet/requests/attempts/AttemptTracker.cpp
@@ -152,7 +152,7 @@
         if (found == tables.endpoints.end() || !found->second.askAgainAt.hasPassed(this->tick.now))
             continue;
         found->second.askAgainAt = Deadline::after(this->tick.now, askInterval);
-        this->tick.outbox.emplace_back(AskRunning { id, found->second.address, found->second.port });
+        this->tick.outbox.emplace_back(QueryRunning { id, found->second.address, found->second.port });
     }
 }
 
--- a/modules/fleet/requests/dispatch/RequestExpiry.cpp
+++ b/modules/fleet/requests/dispatch/RequestExpiry.cpp
@@ -2,7 +2,7 @@
 
 #include <fleet/requests/freshness/FreshnessFence.h>
 #include <fleet/requests/limits/LimitEscrow.h>
-#include <fleet/requests/messages/CallerLeft.h>
+#include <fleet/requests/messages/CallerDisconnected.h>
 #include <fleet/requests/tables/RequestLifecycle.h>
 #include <fleet/requests/tables/RequestTables.h>
 
@@ -13,10 +13,10 @@
 {
 }
 
-void RequestExpiry::handle(const CallerLeft& left)
+void RequestExpiry::handle(const CallerDisconnected& disconnected)
 {
     auto& requests = this->tick.tables.requests;
-    auto found = requests.find(left.request);
+    auto found = requests.find(disconnected.request);
     if (found == requests.end())
         return;
     auto& row = found->second;
--- a/modules/fleet/requests/dispatch/RequestExpiry.h
+++ b/modules/fleet/requests/dispatch/RequestExpiry.h
@@ -5,15 +5,15 @@
 
 namespace Greengage {
 
-struct CallerLeft;
+struct CallerDisconnected;
 struct RequestRow;
 
-/// Ends waiting requests whose deadline has passed or whose caller has left.
+/// Ends waiting requests whose deadline has passed or whose caller has disconnected.
 class RequestExpiry {
 public:
     explicit RequestExpiry(Tick&);
 
-    void handle(const CallerLeft&);
+    void handle(const CallerDisconnected&);
     void run();
 
 private:
--- a/modules/fleet/requests/freshness/FreshnessFence.cpp
+++ b/modules/fleet/requests/freshness/FreshnessFence.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 #include <fleet/requests/messages/MembersListed.h>
-#include <fleet/requests/messages/PeerHeard.h>
+#include <fleet/requests/messages/PeerStateReceived.h>
 #include <fleet/requests/messages/StoreConfirmed.h>
 #include <fleet/requests/tables/RequestTables.h>
 
@@ -37,7 +37,7 @@
     tables.storeAnsweredAt = std::max(tables.storeAnsweredAt, confirmed.askedAt);
 }
 
-void FreshnessFence::handle(const PeerHeard& received)
+void FreshnessFence::handle(const PeerStateReceived& received)
 {
     auto& tables = this->tick.tables;
     const auto& state = received.state;
@@ -55,15 +55,15 @@
     this->applyObservations(received);
 }
 
-void FreshnessFence::applyObservations(const PeerHeard& received)
+void FreshnessFence::applyObservations(const PeerStateReceived& received)
 {
     auto& tables = this->tick.tables;
-    for (const auto& sighting : received.state.sightings) {
-        if (sighting.incarnation == tables.self.incarnation)
+    for (const auto& observation : received.state.observations) {
+        if (observation.incarnation == tables.self.incarnation)
             continue;
-        auto& peer = tables.peers[sighting.incarnation];
-        peer.zone = sighting.zone;
-        peer.lastSeenAt = std::max(peer.lastSeenAt, instantOf(received.askedAt, sighting.age));
+        auto& peer = tables.peers[observation.incarnation];
+        peer.zone = observation.zone;
+        peer.lastSeenAt = std::max(peer.lastSeenAt, instantOf(received.askedAt, observation.age));
     }
 }
 
@@ -130,7 +130,7 @@
     state.knownRevision = std::max(tables.knownRevision, state.appliedRevision);
     state.confirmationAge = this->ageOf(tables.confirmedAt);
     for (const auto& [incarnation, peer] : tables.peers)
-        state.sightings.push_back(PeerSighting { incarnation, peer.zone, this->ageOf(peer.lastSeenAt) });
+        state.observations.push_back(PeerObservation { incarnation, peer.zone, this->ageOf(peer.lastSeenAt) });
 }
 
 } // namespace Greengage
--- a/modules/fleet/requests/freshness/FreshnessFence.h
+++ b/modules/fleet/requests/freshness/FreshnessFence.h
@@ -6,7 +6,7 @@
 namespace Greengage {
 
 struct MembersListed;
-struct PeerHeard;
+struct PeerStateReceived;
 struct PeerState;
 struct StoreConfirmed;
 
@@ -20,7 +20,7 @@
     explicit FreshnessFence(Tick&);
 
     void handle(const StoreConfirmed&);
-    void handle(const PeerHeard&);
+    void handle(const PeerStateReceived&);
     void handle(const MembersListed&);
 
     /// Instant from which keyed requests must not be started.
@@ -33,7 +33,7 @@
     void describe(PeerState&) const;
 
 private:
-    void applyObservations(const PeerHeard&);
+    void applyObservations(const PeerStateReceived&);
     Instant zoneContactEnd() const;
     Milliseconds ageOf(Instant) const;
 
--- a/modules/fleet/requests/limits/ExpiredAllotments.cpp
+++ b/modules/fleet/requests/limits/ExpiredAllotments.cpp
@@ -65,7 +65,7 @@
         if (!endpoint.listed || !endpoint.askAgainAt.hasPassed(this->tick.now))
             continue;
         endpoint.askAgainAt = Deadline::after(this->tick.now, askInterval);
-        this->tick.outbox.emplace_back(AskRunning { id, endpoint.address, endpoint.port });
+        this->tick.outbox.emplace_back(QueryRunning { id, endpoint.address, endpoint.port });
     }
 }
 
--- a/modules/fleet/requests/limits/LimitEscrow.cpp
+++ b/modules/fleet/requests/limits/LimitEscrow.cpp
@@ -49,7 +49,7 @@
 {
     const auto& self = this->tick.tables.self.incarnation;
     this->state.isMember = std::any_of(listed.members.begin(), listed.members.end(),
-        [&](const PeerSighting& member) { return member.incarnation == self; });
+        [&](const PeerObservation& member) { return member.incarnation == self; });
     this->state.wasMember = this->state.wasMember || this->state.isMember;
     if (this->state.wasMember && !this->state.isMember)
         this->state.isVoid = true;
--- a/modules/fleet/requests/messages/CallerLeft.h
+++ b/modules/fleet/requests/messages/CallerDisconnected.h
@@ -5,7 +5,7 @@
 namespace Greengage {
 
 /// The caller closed its connection before it was answered. A waiting request is dropped; a running one continues.
-struct CallerLeft {
+struct CallerDisconnected {
     RequestId request;
 };
 
--- a/modules/fleet/requests/messages/MembersListed.h
+++ b/modules/fleet/requests/messages/MembersListed.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <fleet/peers/PeerSighting.h>
+#include <fleet/peers/PeerObservation.h>
 
 #include <vector>
 
@@ -9,7 +9,7 @@
 /// The membership list was read from the store: the daemons that hold a lease. Contact is needed with the zones of
 /// these daemons.
 struct MembersListed {
-    std::vector<PeerSighting> members;
+    std::vector<PeerObservation> members;
 };
 
 } // namespace Greengage
--- a/modules/fleet/requests/messages/PeerHeard.h
+++ b/modules/fleet/requests/messages/PeerStateReceived.h
@@ -6,7 +6,7 @@
 namespace Greengage {
 
 /// A state message of a peer arrived.
-struct PeerHeard {
+struct PeerStateReceived {
     PeerState state;
     /// When this daemon began the exchange, by its own clock. The ages in the message are counted from here, so that a
     /// delayed message does not count as fresh.
--- a/modules/fleet/requests/messages/AskRunning.h
+++ b/modules/fleet/requests/messages/QueryRunning.h
@@ -8,7 +8,7 @@
 namespace Greengage {
 
 /// Queries an endpoint for the requests that it is running. The answer is RunningReported; there may be none.
-struct AskRunning {
+struct QueryRunning {
     VmId endpoint;
     std::string address;
     std::uint16_t port = 0;
--- a/modules/fleet/tests/FreshnessTests.cpp
+++ b/modules/fleet/tests/FreshnessTests.cpp
@@ -11,7 +11,7 @@
 
     /// Delivers the state of a peer that has applied the revision, with the given observations.
     void receiveState(const std::string& incarnation, const std::string& zone, std::uint64_t revision = 1,
-        Milliseconds confirmationAge = Milliseconds::max(), std::vector<PeerSighting> sightings = {})
+        Milliseconds confirmationAge = Milliseconds::max(), std::vector<PeerObservation> observations = {})
     {
         PeerState state;
         state.incarnation = IncarnationId(incarnation);
@@ -19,13 +19,13 @@
         state.appliedRevision = revision;
         state.knownRevision = revision;
         state.confirmationAge = confirmationAge;
-        state.sightings = std::move(sightings);
-        this->tick(PeerHeard { state, this->clock.current() });
+        state.observations = std::move(observations);
+        this->tick(PeerStateReceived { state, this->clock.current() });
     }
 
-    static PeerSighting member(const std::string& incarnation, const std::string& zone)
+    static PeerObservation member(const std::string& incarnation, const std::string& zone)
     {
-        return PeerSighting { IncarnationId(incarnation), ZoneId(zone), {} };
+        return PeerObservation { IncarnationId(incarnation), ZoneId(zone), {} };
     }
 
     void listMembers()
@@ -96,8 +96,8 @@
     this->clock.advance(Seconds(4));
     this->receiveState("i2", "z2");
     BOOST_TEST(this->submitKeyed() == "configuration_stale");
-    this->receiveState(
-        "i2", "z2", 1, Milliseconds::max(), { PeerSighting { IncarnationId("i4"), ZoneId("z3"), Milliseconds(500) } });
+    this->receiveState("i2", "z2", 1, Milliseconds::max(),
+        { PeerObservation { IncarnationId("i4"), ZoneId("z3"), Milliseconds(500) } });
     BOOST_TEST(this->submitKeyed() == "sent");
     this->clock.advance(Milliseconds(2499));
     this->receiveState("i2", "z2");
@@ -116,11 +116,11 @@
     PeerState state;
     state.incarnation = IncarnationId("i2");
     state.zone = ZoneId("z2");
-    state.sightings = { PeerSighting { IncarnationId("i3"), ZoneId("z3"), Milliseconds::max() } };
-    fresh.tick(this->clock.current(), { PeerHeard { state, this->clock.current() } });
+    state.observations = { PeerObservation { IncarnationId("i3"), ZoneId("z3"), Milliseconds::max() } };
+    fresh.tick(this->clock.current(), { PeerStateReceived { state, this->clock.current() } });
     refused = fresh.tick(this->clock.current(), { this->makeRequest("n2", "quotes", "k1") });
     BOOST_TEST((only<AnswerCaller>(refused).reason == OutcomeReason::ConfigurationStale));
-    BOOST_TEST(fresh.describe(this->clock.current()).sightings.size() == 2);
+    BOOST_TEST(fresh.describe(this->clock.current()).observations.size() == 2);
 }
 
 BOOST_AUTO_TEST_CASE(pausedDaemonRefusesKeyedWorkUntilConfirmedAgain)
@@ -130,7 +130,7 @@
     old.incarnation = IncarnationId("i2");
     old.zone = ZoneId("z2");
     old.confirmationAge = Milliseconds(0);
-    this->tick(PeerHeard { old, this->clock.current() - Seconds(30) });
+    this->tick(PeerStateReceived { old, this->clock.current() - Seconds(30) });
     BOOST_TEST(this->submitKeyed() == "configuration_stale");
 }
 
--- a/modules/fleet/tests/GoldenSessionTests.cpp
+++ b/modules/fleet/tests/GoldenSessionTests.cpp
@@ -71,7 +71,7 @@
     this->tick(RunningReported { broken.endpoint, this->clock.current(), {} });
     this->tick({ this->makeRequest("r5", "quotes", "k1"), ShutdownRequested {} });
     this->tick(this->makeRequest("r6", "quotes", "k1"));
-    this->tick(CallerLeft { RequestId("r5") });
+    this->tick(CallerDisconnected { RequestId("r5") });
     this->wait(Seconds(4));
     this->compare("serving");
 }
@@ -94,13 +94,13 @@
 BOOST_AUTO_TEST_CASE(outage)
 {
     this->startServing();
-    PeerSighting other { IncarnationId("i2"), ZoneId("z2"), {} };
-    this->tick(MembersListed { { PeerSighting { IncarnationId("i1"), ZoneId("z1"), {} }, other } });
+    PeerObservation other { IncarnationId("i2"), ZoneId("z2"), {} };
+    this->tick(MembersListed { { PeerObservation { IncarnationId("i1"), ZoneId("z1"), {} }, other } });
     this->clock.advance(Milliseconds(3500));
     this->tick(this->makeRequest("r1", "quotes", "k1"));
-    this->tick(PeerHeard { makePeer("i2", "z2", 1), this->clock.current() });
+    this->tick(PeerStateReceived { makePeer("i2", "z2", 1), this->clock.current() });
     this->tick(this->makeRequest("r2", "quotes", "k1"));
-    this->tick(PeerHeard { makePeer("i2", "z2", 2), this->clock.current() });
+    this->tick(PeerStateReceived { makePeer("i2", "z2", 2), this->clock.current() });
     this->tick(this->makeRequest("r3", "quotes", "k1"));
     auto withdrawn = makeDocument(2);
     withdrawn->keys.erase(withdrawn->keys.begin());
@@ -119,7 +119,7 @@
     auto peer = makePeer("i2", "z2", 1);
     peer.demand = { TeamDemand { QueueId("quotes"), TeamId("booking"), 0, 4 } };
     this->clock.advance(Milliseconds(60));
-    this->tick(PeerHeard { peer, this->clock.current() });
+    this->tick(PeerStateReceived { peer, this->clock.current() });
     this->tick(AllotmentsWriteFailed { true });
     this->wait(Milliseconds(250));
     this->tick(AllotmentsWriteFailed { false });
--- a/modules/fleet/tests/LimitEscrowTests.cpp
+++ b/modules/fleet/tests/LimitEscrowTests.cpp
@@ -163,7 +163,7 @@
     peer.incarnation = IncarnationId("i2");
     peer.zone = ZoneId("z2");
     peer.confirmationAge = Milliseconds(0);
-    this->tick(PeerHeard { peer, this->clock.current() });
+    this->tick(PeerStateReceived { peer, this->clock.current() });
     BOOST_TEST(renewal.expectedVersion == 1);
     BOOST_TEST(pick<SendAttempt>(this->tick(this->makeRequest("r1", "quotes", "k1"))).empty());
     auto outputs = this->tick(AllotmentsRead { 2, renewal.value, true });
@@ -218,7 +218,7 @@
     peer.zone = ZoneId("z2");
     peer.demand = { TeamDemand { QueueId("quotes"), TeamId("booking"), 0, 6 } };
     this->clock.advance(Milliseconds(50));
-    auto handBack = only<UpdateAllotments>(this->tick(PeerHeard { peer, this->clock.current() }));
+    auto handBack = only<UpdateAllotments>(this->tick(PeerStateReceived { peer, this->clock.current() }));
     BOOST_TEST(handBack.value.find(R"("booking":{"i1":4})") != std::string::npos);
     this->tick(AllotmentsWriteFailed { true });
     auto countSent = [&](RequestInput last) {
--- a/modules/fleet/tests/SessionTranscript.cpp
+++ b/modules/fleet/tests/SessionTranscript.cpp
@@ -30,9 +30,9 @@
             .add("deadline", formatTime(message.deadline));
     }
 
-    LogLine operator()(const CallerLeft& message) const
+    LogLine operator()(const CallerDisconnected& message) const
     {
-        return LogLine("CallerLeft").add("request", message.request.string());
+        return LogLine("CallerDisconnected").add("request", message.request.string());
     }
 
     LogLine operator()(const DocumentApplied& message) const
@@ -88,13 +88,13 @@
         return LogLine("AllotmentsWriteFailed").add("mayHaveTakenEffect", message.mayHaveTakenEffect);
     }
 
-    LogLine operator()(const PeerHeard& message) const
+    LogLine operator()(const PeerStateReceived& message) const
     {
-        return LogLine("PeerHeard")
+        return LogLine("PeerStateReceived")
             .add("incarnation", message.state.incarnation.string())
             .add("askedAt", formatTime(message.askedAt))
             .add("known", message.state.knownRevision)
-            .add("sightings", message.state.sightings.size())
+            .add("observations", message.state.observations.size())
             .add("demand", message.state.demand.size());
     }
 
@@ -139,9 +139,9 @@
         return LogLine("UpdateAllotments").add("expected", message.expectedVersion).add("value", message.value);
     }
 
-    LogLine operator()(const AskRunning& message) const
+    LogLine operator()(const QueryRunning& message) const
     {
-        return LogLine("AskRunning").add("endpoint", message.endpoint.string());
+        return LogLine("QueryRunning").add("endpoint", message.endpoint.string());
     }
 };
 
--- a/modules/fleet/tests/SharingTests.cpp
+++ b/modules/fleet/tests/SharingTests.cpp
@@ -83,7 +83,7 @@
     peer.incarnation = IncarnationId("i2");
     peer.zone = ZoneId("z2");
     peer.demand = { TeamDemand { QueueId("quotes"), TeamId("booking"), 3, 0 } };
-    this->tick(PeerHeard { peer, this->clock.current() });
+    this->tick(PeerStateReceived { peer, this->clock.current() });
     this->tick(this->makeRequest("r1", "quotes", "k1"));
     this->tick(this->makeRequest("r2", "quotes", "k2"));
     this->tick(this->makeRequest("r3", "quotes", "k2"));
--- a/modules/fleet/tests/maintenance/FakeFleet.cpp
+++ b/modules/fleet/tests/maintenance/FakeFleet.cpp
@@ -286,7 +286,8 @@
     state.appliedRevision = daemon.document ? daemon.document->revision : 0;
     for (std::size_t other = 0; other < this->daemons.size(); other++) {
         if (other == index || (!this->isCut(daemon.zone, this->daemons[other].zone) && this->chance(0.5)))
-            this->deliver(other, Milliseconds(other == index ? 0 : this->pick(0, 300)), PeerHeard { state, this->now });
+            this->deliver(
+                other, Milliseconds(other == index ? 0 : this->pick(0, 300)), PeerStateReceived { state, this->now });
     }
 }
 
@@ -360,12 +361,12 @@
     this->checkDocument();
 }
 
-void FakeFleet::carryOut(std::size_t index, const AskRunning& ask)
+void FakeFleet::carryOut(std::size_t index, const QueryRunning& query)
 {
-    const auto& vm = this->vms.at(ask.endpoint);
+    const auto& vm = this->vms.at(query.endpoint);
     if (this->isCut(this->daemons[index].zone, vm.record.zone) || vm.isDown(this->now))
         return;
-    RunningReported report { ask.endpoint, this->now, std::vector<RunningWork>(vm.work.size()) };
+    RunningReported report { query.endpoint, this->now, std::vector<RunningWork>(vm.work.size()) };
     this->deliver(index, Milliseconds(this->pick(0, 1500)), report);
 }
 
--- a/modules/fleet/tests/maintenance/FakeFleet.h
+++ b/modules/fleet/tests/maintenance/FakeFleet.h
@@ -62,7 +62,7 @@
     void carryOut(std::size_t, const UpdateLedger&);
     void carryOut(std::size_t, const RebootVm&);
     void carryOut(std::size_t, const MoveVm&);
-    void carryOut(std::size_t, const AskRunning&);
+    void carryOut(std::size_t, const QueryRunning&);
     void carryOut(std::size_t, const CommandSettled& settled) { this->settled.push_back(settled); }
     void carryOut(std::size_t, const WaveEvent& event) { this->eventCounts[event.kind]++; }
     void carryOut(std::size_t, const LedgerUnreadable&) { this->violations.emplace_back("ledger unreadable"); }
--- a/modules/fleet/tests/maintenance/PlaneTests.cpp
+++ b/modules/fleet/tests/maintenance/PlaneTests.cpp
@@ -55,7 +55,7 @@
     return ledger.encode();
 }
 
-PeerHeard makePeerHeard(
+PeerStateReceived makePeerStateReceived(
     const char* incarnation, std::uint64_t ledgerRevision, std::uint64_t documentRevision, Instant at)
 {
     PeerState state;
@@ -68,14 +68,14 @@
 
 /// Runs one tick of the driver d.0 with an idle report of vm-1, and a state of a second daemon d.1 if `other` is given.
 /// Returns whether the plane requested a ledger write.
-bool tickWrites(MaintenancePlane& plane, Instant at, const PeerHeard* other, bool isOtherListed)
+bool tickWrites(MaintenancePlane& plane, Instant at, const PeerStateReceived* other, bool isOtherListed)
 {
     VmRecord vm { VmId("vm-1"), "127.0.0.1", 1, ZoneId("z"), RackId("r"), VmState::Live };
     MembersListed members { { { IncarnationId("d.0"), ZoneId("z"), {} } } };
     if (isOtherListed)
         members.members.push_back({ IncarnationId("d.1"), ZoneId("z"), {} });
-    std::vector<MaintenanceInput> inputs { EndpointsListed { { vm }, {}, 5 }, members, makePeerHeard("d.0", 5, 3, at),
-        RunningReported { VmId("vm-1"), at, {} } };
+    std::vector<MaintenanceInput> inputs { EndpointsListed { { vm }, {}, 5 }, members,
+        makePeerStateReceived("d.0", 5, 3, at), RunningReported { VmId("vm-1"), at, {} } };
     if (other)
         inputs.emplace_back(*other);
     return findOutput<UpdateLedger>(plane.tick(at, inputs)) != nullptr;
@@ -128,10 +128,10 @@
     plane.tick(start,
         { LedgerRead { start, 9, ledgerWith(MaintenancePhase::Joining, 3) }, DocumentApplied { documentWithVm() } });
     for (int second = 1; second < 10; second++) {
-        auto behind = makePeerHeard("d.1", 5, 2, start + Seconds(second));
+        auto behind = makePeerStateReceived("d.1", 5, 2, start + Seconds(second));
         BOOST_TEST(!tickWrites(plane, start + Seconds(second), &behind, true));
     }
-    auto upToDate = makePeerHeard("d.1", 5, 3, start + Seconds(10));
+    auto upToDate = makePeerStateReceived("d.1", 5, 3, start + Seconds(10));
     BOOST_TEST(tickWrites(plane, start + Seconds(10), &upToDate, true));
 }
 
@@ -140,7 +140,7 @@
     MaintenancePlane plane(IncarnationId("d.0"));
     plane.tick(start,
         { LedgerRead { start, 9, ledgerWith(MaintenancePhase::Draining, 0) }, DocumentApplied { documentWithVm() } });
-    auto lastState = makePeerHeard("d.1", 3, 3, start + Seconds(1));
+    auto lastState = makePeerStateReceived("d.1", 3, 3, start + Seconds(1));
     BOOST_TEST(!tickWrites(plane, start + Seconds(1), &lastState, true));
     for (int second = 2; second < 16; second++)
         BOOST_TEST(!tickWrites(plane, start + Seconds(second), nullptr, false), "at " << second);
--- a/modules/fleet/tests/placement/FakeSite.cpp
+++ b/modules/fleet/tests/placement/FakeSite.cpp
@@ -176,24 +176,24 @@
         std::erase_if(this->tasks, [](const FakeTask& entry) { return entry.attempt == 0; });
         return;
     }
-    this->carryOut(AskAttempt { stop.attempt, stop.worker, stop.workerBoot });
+    this->carryOut(QueryAttempt { stop.attempt, stop.worker, stop.workerBoot });
 }
 
-void FakeSite::carryOut(const AskAttempt& ask)
+void FakeSite::carryOut(const QueryAttempt& query)
 {
-    if (this->isCut(this->indexOf(ask.worker)))
+    if (this->isCut(this->indexOf(query.worker)))
         return;
-    auto isAsked = [&](const FakeTask& task) { return task.attempt == ask.attempt; };
+    auto isAsked = [&](const FakeTask& task) { return task.attempt == query.attempt; };
     auto running = std::find_if(this->tasks.begin(), this->tasks.end(), isAsked);
-    auto ended = this->finalReports.find(ask.attempt);
+    auto ended = this->finalReports.find(query.attempt);
     if (running != this->tasks.end())
-        this->report(ask.attempt, AttemptStatus::Running, running->job->actual);
+        this->report(query.attempt, AttemptStatus::Running, running->job->actual);
     else if (ended != this->finalReports.end())
-        this->report(ask.attempt, ended->second.status, ended->second.peakUsage);
-    else if (this->workers[this->indexOf(ask.worker)].record.boot != ask.workerBoot)
-        this->report(ask.attempt, AttemptStatus::Stopped, {});
+        this->report(query.attempt, ended->second.status, ended->second.peakUsage);
+    else if (this->workers[this->indexOf(query.worker)].record.boot != query.workerBoot)
+        this->report(query.attempt, AttemptStatus::Stopped, {});
     else
-        this->report(ask.attempt, AttemptStatus::FailedToStart, {});
+        this->report(query.attempt, AttemptStatus::FailedToStart, {});
 }
 
 void FakeSite::carryOut(const JobEnded& ended)
--- a/modules/fleet/tests/placement/FakeSite.h
+++ b/modules/fleet/tests/placement/FakeSite.h
@@ -57,7 +57,7 @@
     void listWorkers();
     void carryOut(const StartTask&);
     void carryOut(const StopTask&);
-    void carryOut(const AskAttempt&);
+    void carryOut(const QueryAttempt&);
     void carryOut(const ThrottleTask&) { }
     void carryOut(const JobEnded&);
     void carryOut(const WorkerQuarantined& quarantined) { this->quarantineCounts[quarantined.worker]++; }
--- a/modules/fleet/tests/simulation/SimulatedFleet.cpp
+++ b/modules/fleet/tests/simulation/SimulatedFleet.cpp
@@ -182,7 +182,7 @@
 void SimulatedFleet::receiveState(std::size_t index, const PeerState& state, Instant askedAt)
 {
     auto& daemon = this->daemons[index];
-    this->deliver(index, daemon.identity.incarnation, PeerHeard { state, askedAt });
+    this->deliver(index, daemon.identity.incarnation, PeerStateReceived { state, askedAt });
     if (!daemon.isRunning() || state.appliedRevision <= daemon.appliedRevision)
         return;
     for (const auto& document : this->documents) {
@@ -222,7 +222,7 @@
     MembersListed members;
     for (const auto& member : this->daemons) {
         if (member.leaseEnd > this->clock.current())
-            members.members.push_back(PeerSighting { member.identity.incarnation, member.identity.zone, {} });
+            members.members.push_back(PeerObservation { member.identity.incarnation, member.identity.zone, {} });
     }
     this->deliver(index, incarnation, members);
 }
--- a/modules/fleet/tests/simulation/SimulatedFleet.h
+++ b/modules/fleet/tests/simulation/SimulatedFleet.h
@@ -72,7 +72,7 @@
     void execute(std::size_t daemon, const AnswerCaller&);
     void execute(std::size_t daemon, const WriteClaim&);
     void execute(std::size_t daemon, const UpdateAllotments&);
-    void execute(std::size_t daemon, const AskRunning&);
+    void execute(std::size_t daemon, const QueryRunning&);
 
     void sendFirstByte(std::size_t daemon, const IncarnationId&, const SendAttempt&);
     void receiveAttempt(std::size_t daemon, const IncarnationId&, const SendAttempt&);
--- a/modules/fleet/tests/simulation/SimulatedFleetActions.cpp
+++ b/modules/fleet/tests/simulation/SimulatedFleetActions.cpp
@@ -96,15 +96,15 @@
         this->after(lostAnswerTimeout, [=] { answer(AllotmentsWriteFailed { true }); });
 }
 
-void SimulatedFleet::execute(std::size_t daemon, const AskRunning& ask)
+void SimulatedFleet::execute(std::size_t daemon, const QueryRunning& query)
 {
     auto askedAt = this->clock.current();
     auto incarnation = this->daemons[daemon].identity.incarnation;
     this->after(this->options.networkDelay, [=, this] {
-        const auto& endpoint = this->endpointOf(ask.endpoint);
+        const auto& endpoint = this->endpointOf(query.endpoint);
         if (endpoint.silent || !this->connected(this->daemons[daemon].identity.zone, endpoint.vm.zone))
             return;
-        RunningReported report { ask.endpoint, askedAt, {} };
+        RunningReported report { query.endpoint, askedAt, {} };
         for (const auto& [id, work] : endpoint.running)
             report.running.push_back(work);
         this->after(this->options.networkDelay, [=, this] { this->deliver(daemon, incarnation, report); });
--- a/modules/gateway/callers/CallerServer.cpp
+++ b/modules/gateway/callers/CallerServer.cpp
@@ -2,7 +2,7 @@
 
 #include <core/time/BootClock.h>
 #include <fleet/requests/messages/AnswerCaller.h>
-#include <fleet/requests/messages/CallerLeft.h>
+#include <fleet/requests/messages/CallerDisconnected.h>
 #include <fleet/requests/messages/RequestArrived.h>
 #include <gateway/callers/OutcomeResponse.h>
 #include <gateway/callers/RequestParser.h>
@@ -165,7 +165,7 @@
     // When a connection breaks, evhttp detaches its unanswered request without freeing it.
     if (!evhttp_request_get_connection(httpRequest))
         evhttp_request_free(httpRequest);
-    this->handlers.onCallerLeft({ request });
+    this->handlers.onCallerDisconnected({ request });
 }
 
 void CallerServer::answer(const AnswerCaller& answer)
--- a/modules/gateway/callers/CallerServer.h
+++ b/modules/gateway/callers/CallerServer.h
@@ -19,7 +19,7 @@
 namespace Greengage {
 
 struct AnswerCaller;
-struct CallerLeft;
+struct CallerDisconnected;
 struct OutcomeResponse;
 struct RequestArrived;
 
@@ -28,7 +28,7 @@
 public:
     struct Handlers {
         std::function<void(RequestArrived)> onRequestArrived;
-        std::function<void(CallerLeft)> onCallerLeft;
+        std::function<void(CallerDisconnected)> onCallerDisconnected;
         /// A request was answered, `latency` after it had arrived completely.
         std::function<void(const AnswerCaller&, const QueueId&, Microseconds latency)> onAnswered;
         /// A request was refused before an id was assigned to it.
--- a/modules/gateway/endpoints/EndpointClient.cpp
+++ b/modules/gateway/endpoints/EndpointClient.cpp
@@ -1,8 +1,8 @@
 #include <gateway/endpoints/EndpointClient.h>
 
 #include <core/time/BootClock.h>
-#include <fleet/requests/messages/AskRunning.h>
 #include <fleet/requests/messages/AttemptEnded.h>
+#include <fleet/requests/messages/QueryRunning.h>
 #include <fleet/requests/messages/RunningReported.h>
 #include <fleet/requests/messages/SendAttempt.h>
 #include <gateway/endpoints/EndpointConnection.h>
@@ -98,15 +98,15 @@
         address, attempt.freshConnection, toExchange(attempt, queue, body, this->incarnation), std::move(finished));
 }
 
-void EndpointClient::askRunning(const AskRunning& question, RunningCallback reported)
+void EndpointClient::queryRunning(const QueryRunning& query, RunningCallback reported)
 {
     Instant now = BootClock::now();
     ExchangeRequest request;
     request.path = "/running";
-    request.headers = { { HeaderNames::endpoint, question.endpoint.string() } };
+    request.headers = { { HeaderNames::endpoint, query.endpoint.string() } };
     request.notAfter = Deadline::after(now, askRunningTimeout);
     request.answerBy = request.notAfter;
-    RunningReported report { question.endpoint, now, {} };
+    RunningReported report { query.endpoint, now, {} };
     auto finished = [report, reported = std::move(reported)](const ExchangeResult& result) mutable {
         if (result.end != ExchangeEnd::Completed || result.status != statusOk)
             return;
@@ -116,7 +116,7 @@
         report.running = std::move(running.value());
         reported(std::move(report));
     };
-    this->exchange({ question.endpoint, question.address, question.port }, false, request, std::move(finished));
+    this->exchange({ query.endpoint, query.address, query.port }, false, request, std::move(finished));
 }
 
 void EndpointClient::exchange(
--- a/modules/gateway/endpoints/EndpointClient.h
+++ b/modules/gateway/endpoints/EndpointClient.h
@@ -18,7 +18,7 @@
 namespace Greengage {
 
 class EndpointConnection;
-struct AskRunning;
+struct QueryRunning;
 struct AttemptEnded;
 struct ExchangeRequest;
 struct ExchangeResult;
@@ -45,7 +45,7 @@
 
     /// Queries which requests an endpoint is running. `reported` is called only if the endpoint answers in time with a
     /// well-formed list.
-    void askRunning(const AskRunning&, RunningCallback reported);
+    void queryRunning(const QueryRunning&, RunningCallback reported);
 
     /// The number of exchanges in progress.
     std::size_t activeExchangeCount() const { return this->activeExchanges.size(); }
--- a/modules/gateway/tests/CallerServerTests.cpp
+++ b/modules/gateway/tests/CallerServerTests.cpp
@@ -1,7 +1,7 @@
 #include <boost/test/unit_test.hpp>
 
 #include <fleet/requests/messages/AnswerCaller.h>
-#include <fleet/requests/messages/CallerLeft.h>
+#include <fleet/requests/messages/CallerDisconnected.h>
 #include <fleet/requests/messages/RequestArrived.h>
 #include <gateway/callers/CallerServer.h>
 #include <support/LoopRunner.h>
@@ -62,14 +62,14 @@
 struct ServerFixture {
     LoopRunner loop;
     std::vector<RequestArrived> arrived;
-    std::vector<CallerLeft> disconnects;
+    std::vector<CallerDisconnected> disconnects;
     std::vector<CallerRefusal> refused;
     int answered = 0;
     CallerLimits limits { 2, 2048, 1000, 1500, Milliseconds(300) };
     std::uint16_t port = static_cast<std::uint16_t>(basePort + getpid() % portRange);
     CallerServer server { loop.base(), limits, IncarnationId("i1"),
         { [this](RequestArrived request) { this->arrived.push_back(std::move(request)); },
-            [this](CallerLeft message) { this->disconnects.push_back(std::move(message)); },
+            [this](CallerDisconnected message) { this->disconnects.push_back(std::move(message)); },
             [this](const AnswerCaller&, const QueueId&, Microseconds) { this->answered += 1; },
             [this](CallerRefusal refusal) { this->refused.push_back(refusal); }, [] { return true; },
             [] { return std::string("metrics page"); } } };
--- a/modules/gateway/tests/EndpointClientTests.cpp
+++ b/modules/gateway/tests/EndpointClientTests.cpp
@@ -1,8 +1,8 @@
 #include <boost/test/unit_test.hpp>
 
 #include <core/time/BootClock.h>
-#include <fleet/requests/messages/AskRunning.h>
 #include <fleet/requests/messages/AttemptEnded.h>
+#include <fleet/requests/messages/QueryRunning.h>
 #include <fleet/requests/messages/RunningReported.h>
 #include <fleet/requests/messages/SendAttempt.h>
 #include <gateway/endpoints/EndpointClient.h>
@@ -209,7 +209,7 @@
             + body };
     };
     std::optional<RunningReported> report;
-    this->client.askRunning({ VmId("vm1"), "127.0.0.1", this->server.port() },
+    this->client.queryRunning({ VmId("vm1"), "127.0.0.1", this->server.port() },
         [&report](RunningReported reported) { report = std::move(reported); });
     BOOST_REQUIRE(this->loop.runUntil([&report] { return report.has_value(); }));
     BOOST_REQUIRE(report->running.size() == 1U);
--- a/modules/gateway/traffic/Gateway.cpp
+++ b/modules/gateway/traffic/Gateway.cpp
@@ -12,7 +12,7 @@
     , handlers(std::move(handlers))
     , callers(base, limits, incarnation,
           { [this](RequestArrived arrived) { this->handlers.input(std::move(arrived)); },
-              [this](CallerLeft left) { this->handlers.input(std::move(left)); },
+              [this](CallerDisconnected disconnected) { this->handlers.input(std::move(disconnected)); },
               [this](const AnswerCaller& answer, const QueueId& queue, Microseconds latency) {
                   this->handlers.answered(answer, queue, latency);
               },
@@ -46,9 +46,9 @@
 
 void Gateway::answer(const AnswerCaller& answer) { this->callers.answer(answer); }
 
-void Gateway::askRunning(const AskRunning& question)
+void Gateway::queryRunning(const QueryRunning& query)
 {
-    this->endpoints.askRunning(question, [this](RunningReported report) { this->handlers.input(std::move(report)); });
+    this->endpoints.queryRunning(query, [this](RunningReported report) { this->handlers.input(std::move(report)); });
 }
 
 } // namespace Greengage
--- a/modules/gateway/traffic/Gateway.h
+++ b/modules/gateway/traffic/Gateway.h
@@ -16,7 +16,7 @@
 namespace Greengage {
 
 struct AnswerCaller;
-struct AskRunning;
+struct QueryRunning;
 struct SendAttempt;
 
 /// Connects the request plane to callers and endpoints: converts their messages to inputs of the request plane, and
@@ -40,7 +40,7 @@
 
     void send(const SendAttempt&);
     void answer(const AnswerCaller&);
-    void askRunning(const AskRunning&);
+    void queryRunning(const QueryRunning&);
 
     /// Whether no caller is waiting for an answer and no exchange with an endpoint is in progress.
     bool isIdle() const
--- a/modules/mesh/codec/PeerStateCodec.cpp
+++ b/modules/mesh/codec/PeerStateCodec.cpp
@@ -30,10 +30,10 @@
 }
 
 /// Encodes observations of other daemons as {"<zone>":{"<incarnation>":age in ms}}, by availability zone.
-Json::Value toJson(const std::vector<PeerSighting>& entries)
+Json::Value toJson(const std::vector<PeerObservation>& entries)
 {
     Json::Value zones(Json::objectValue);
-    for (const PeerSighting& entry : entries)
+    for (const PeerObservation& entry : entries)
         zones[entry.zone.string()][entry.incarnation.string()] = toJson(entry.age);
     return zones;
 }
@@ -145,13 +145,13 @@
         });
 }
 
-bool readObservations(const Json::Value& zones, std::vector<PeerSighting>& sightings)
+bool readObservations(const Json::Value& zones, std::vector<PeerObservation>& observations)
 {
     return readNested(
         zones, maxObservations, [&](const std::string& zone, const std::string& incarnation, const Json::Value& age) {
             if (!isAge(age))
                 return false;
-            sightings.push_back({ IncarnationId(incarnation), ZoneId(zone), ageOf(age) });
+            observations.push_back({ IncarnationId(incarnation), ZoneId(zone), ageOf(age) });
             return true;
         });
 }
@@ -165,7 +165,7 @@
     }
     if (!readDemand(reader.object("demand"), state.demand))
         return malformed("demand must hold pairs of counts by queue and team");
-    if (!readObservations(reader.object("sightings"), state.sightings))
+    if (!readObservations(reader.object("sightings"), state.observations))
         return malformed("sightings must hold ages by availability zone and incarnation");
     return success();
 }
@@ -187,7 +187,7 @@
     for (const VmId& vm : state.busyDrainingVms)
         value["busyDrainingVms"].append(vm.string());
     value["demand"] = Greengage::toJson(state.demand);
-    value["sightings"] = Greengage::toJson(state.sightings);
+    value["sightings"] = Greengage::toJson(state.observations);
     return value;
 }
 
--- a/modules/mesh/tests/MeshTests.cpp
+++ b/modules/mesh/tests/MeshTests.cpp
@@ -33,7 +33,7 @@
     state.busyDrainingVms = { VmId("vm9") };
     state.demand = { { QueueId("q"), TeamId("t"), 3, 4 }, { QueueId("q"), TeamId("u"), 0, 1 },
         { QueueId("r"), TeamId("t"), 5, 0 } };
-    state.sightings = { { IncarnationId("i2"), ZoneId("z2"), Milliseconds::max() },
+    state.observations = { { IncarnationId("i2"), ZoneId("z2"), Milliseconds::max() },
         { IncarnationId("i3"), ZoneId("z2"), Milliseconds(40) } };
     return state;
 }
@@ -84,10 +84,10 @@
     BOOST_TEST(read.demand[1].team.string() == "u");
     BOOST_TEST(read.demand[1].running == 0);
     BOOST_TEST(read.demand[1].waiting == 1);
-    BOOST_REQUIRE(read.sightings.size() == 2U);
-    BOOST_TEST(read.sightings[0].incarnation.string() == "i2");
-    BOOST_TEST((read.sightings[0].age == Milliseconds::max()));
-    BOOST_TEST((read.sightings[1].age == Milliseconds(40)));
+    BOOST_REQUIRE(read.observations.size() == 2U);
+    BOOST_TEST(read.observations[0].incarnation.string() == "i2");
+    BOOST_TEST((read.observations[0].age == Milliseconds::max()));
+    BOOST_TEST((read.observations[1].age == Milliseconds(40)));
 }
 
 BOOST_AUTO_TEST_CASE(documentIsFetchedOnlyIfItsRevisionIsNewEnough)
