--- a/modules/daemon/configuration/DocumentKeeper.cpp
+++ b/modules/daemon/configuration/DocumentCache.cpp
@@ -1,4 +1,4 @@
-#include <daemon/configuration/DocumentKeeper.h>
+#include <daemon/configuration/DocumentCache.h>
 
 #include <config/document/DocumentParser.h>
 #include <core/log/Log.h>
@@ -8,12 +8,12 @@
 
 namespace Greengage {
 
-DocumentKeeper::DocumentKeeper(OnApplied onApplied)
+DocumentCache::DocumentCache(OnApplied onApplied)
     : onApplied(std::move(onApplied))
 {
 }
 
-void DocumentKeeper::offer(const DocumentRecord& record, const char* source)
+void DocumentCache::offer(const DocumentRecord& record, const char* source)
 {
     this->configuration.newestStored = std::max(this->configuration.newestStored, record.revision);
     if (record.revision <= this->configuration.appliedRevision())
--- a/modules/daemon/process/Daemon.h
+++ b/modules/daemon/process/Daemon.h
@@ -6,7 +6,7 @@
 #include <daemon/admin/WaveApi.h>
 #include <daemon/allotments/AllotmentWriter.h>
 #include <daemon/claims/ClaimWriter.h>
-#include <daemon/configuration/DocumentKeeper.h>
+#include <daemon/configuration/DocumentCache.h>
 #include <daemon/configuration/StoreWatcher.h>
 #include <daemon/maintenance/MaintenanceDriver.h>
 #include <daemon/membership/MemberTable.h>
@@ -90,7 +90,7 @@
     /// When connections of callers that are still open are no longer waited for.
     Deadline closeConnectionsAt;
     StoreClient store;
-    DocumentKeeper documents;
+    DocumentCache documents;
     Gateway gateway;
     MeshServer meshServer;
     PeerExchange peerExchange;
--- a/modules/fleet/maintenance/MaintenancePlane.cpp
+++ b/modules/fleet/maintenance/MaintenancePlane.cpp
@@ -7,7 +7,7 @@
 #include <fleet/maintenance/systems/FleetView.h>
 #include <fleet/maintenance/systems/LedgerReplica.h>
 #include <fleet/maintenance/systems/PendingCommand.h>
-#include <fleet/maintenance/systems/VmWatch.h>
+#include <fleet/maintenance/systems/VmPhaseState.h>
 #include <fleet/maintenance/systems/WaveContext.h>
 
 #include <algorithm>
@@ -43,7 +43,7 @@
         for (const auto& input : inputs)
             std::visit([this](const auto& message) { this->apply(message); }, input);
         this->view.refresh(now);
-        this->refreshWatches();
+        this->refreshPhaseStates();
         this->settleCommands();
         if (this->replica.beginReadIfNeeded(now, this->ledgerNeededSince()))
             this->outputs.emplace_back(ReadLedger {});
@@ -77,8 +77,8 @@
 
     void apply(const RebootReported& reported)
     {
-        auto found = this->watches.find(reported.vm);
-        if (found == this->watches.end() || found->second.revision != reported.operation)
+        auto found = this->phaseStates.find(reported.vm);
+        if (found == this->phaseStates.end() || found->second.revision != reported.operation)
             return;
         if (found->second.phase == MaintenancePhase::Rebooting && reported.done)
             found->second.rebootDone = true;
@@ -86,34 +86,34 @@
 
     template <typename Message> void apply(const Message& message) { this->view.apply(this->now, message); }
 
-    /// Keeps one watch for each VM out of service and resets it when the VM enters another phase.
-    void refreshWatches()
+    /// Keeps one phase state for each VM out of service and resets it when the VM enters another phase.
+    void refreshPhaseStates()
     {
-        std::unordered_map<VmId, VmWatch> kept;
+        std::unordered_map<VmId, VmPhaseState> kept;
         for (const auto& entry : this->ledger().vms) {
-            auto& watch = kept[entry.vm];
-            auto found = this->watches.find(entry.vm);
-            if (found != this->watches.end())
-                watch = found->second;
-            if (watch.revision != entry.revision || watch.phase != entry.phase)
-                watch = this->makeWatch(entry);
+            auto& phaseState = kept[entry.vm];
+            auto found = this->phaseStates.find(entry.vm);
+            if (found != this->phaseStates.end())
+                phaseState = found->second;
+            if (phaseState.revision != entry.revision || phaseState.phase != entry.phase)
+                phaseState = this->makePhaseState(entry);
             if (!this->view.isUnusedByEveryDaemon(this->now, entry))
-                watch.unusedSince.reset();
-            else if (!watch.unusedSince)
-                watch.unusedSince = this->now;
+                phaseState.unusedSince.reset();
+            else if (!phaseState.unusedSince)
+                phaseState.unusedSince = this->now;
         }
-        this->watches = std::move(kept);
+        this->phaseStates = std::move(kept);
     }
 
-    VmWatch makeWatch(const VmMaintenance& entry) const
+    VmPhaseState makePhaseState(const VmMaintenance& entry) const
     {
-        VmWatch watch;
-        watch.revision = entry.revision;
-        watch.phase = entry.phase;
-        watch.since = this->now;
+        VmPhaseState phaseState;
+        phaseState.revision = entry.revision;
+        phaseState.phase = entry.phase;
+        phaseState.since = this->now;
         if (const auto* wave = this->view.wave(entry.wave))
-            watch.drainDeadline = Deadline::after(this->now, Seconds(wave->drainTimeoutSeconds));
-        return watch;
+            phaseState.drainDeadline = Deadline::after(this->now, Seconds(wave->drainTimeoutSeconds));
+        return phaseState;
     }
 
     /// A move is requested only from a ledger that was read after the document on which the move is based.
@@ -163,7 +163,7 @@
         std::vector<WaveEvent> events;
         // Entries created in this tick carry the revision that the write will have.
         draft.revision++;
-        WaveContext context { this->now, this->view, draft, this->watches, events };
+        WaveContext context { this->now, this->view, draft, this->phaseStates, events };
         this->applyFirstCommand(context);
         if (this->isDriving() && this->now >= this->nextDecisionAt) {
             this->nextDecisionAt = this->now + decideInterval;
@@ -202,8 +202,8 @@
         if (!this->mayDecide())
             return;
         for (const auto& entry : this->ledger().vms) {
-            auto& watch = this->watches[entry.vm];
-            if (this->now < watch.nextRequestAt)
+            auto& phaseState = this->phaseStates[entry.vm];
+            if (this->now < phaseState.nextRequestAt)
                 continue;
             if (entry.phase == MaintenancePhase::Rebooting)
                 this->outputs.emplace_back(RebootVm { entry.vm, entry.revision });
@@ -211,7 +211,7 @@
                 this->requestMove(entry);
             else
                 continue;
-            watch.nextRequestAt = this->now + stepRetryInterval;
+            phaseState.nextRequestAt = this->now + stepRetryInterval;
         }
     }
 
@@ -273,7 +273,7 @@
     Instant now = Instant::min();
     FleetView view;
     LedgerReplica replica;
-    std::unordered_map<VmId, VmWatch> watches;
+    std::unordered_map<VmId, VmPhaseState> phaseStates;
     std::vector<PendingCommand> commands;
     Instant nextPollAt = Instant::min();
     Instant nextDecisionAt = Instant::min();
--- a/modules/fleet/maintenance/plan/WavePlan.cpp
+++ b/modules/fleet/maintenance/plan/WavePlan.cpp
@@ -63,9 +63,9 @@
 /// Simulates the wave round by round on the ledger, with no other maintenance in progress.
 void runWave(WavePlan& plan, const FleetView& view, MaintenanceLedger& ledger, Seconds perVm)
 {
-    const std::unordered_map<VmId, VmWatch> watches;
+    const std::unordered_map<VmId, VmPhaseState> phaseStates;
     std::vector<WaveEvent> events;
-    WaveContext context { planStart, view, ledger, watches, events };
+    WaveContext context { planStart, view, ledger, phaseStates, events };
     Seconds at {};
     while (true) {
         startDrains(context);
@@ -91,8 +91,8 @@
     const auto view = makeView(std::move(document), vms);
     MaintenanceLedger ledger;
     std::vector<WaveEvent> events;
-    const std::unordered_map<VmId, VmWatch> watches;
-    WaveContext context { planStart, view, ledger, watches, events };
+    const std::unordered_map<VmId, VmPhaseState> phaseStates;
+    WaveContext context { planStart, view, ledger, phaseStates, events };
     applyCommand(context, WaveCommanded { "plan", wave.name, WaveVerb::Start, Deadline::never() });
     WavePlan plan;
     auto* progress = ledger.find(wave.name);
--- a/modules/fleet/maintenance/systems/AdvanceSystem.cpp
+++ b/modules/fleet/maintenance/systems/AdvanceSystem.cpp
@@ -15,22 +15,22 @@
 /// How long every daemon must have stopped using a VM before the VM's report of no work is trusted.
 constexpr Seconds drainSettleTime(1);
 
-bool isDrained(const WaveContext& context, const VmMaintenance& entry, const VmWatch& watch)
+bool isDrained(const WaveContext& context, const VmMaintenance& entry, const VmPhaseState& phaseState)
 {
     const auto* observation = context.view.observation(entry.vm);
-    return watch.unusedSince && observation && observation->isIdle
-        && observation->askedAt >= *watch.unusedSince + drainSettleTime;
+    return phaseState.unusedSince && observation && observation->isIdle
+        && observation->askedAt >= *phaseState.unusedSince + drainSettleTime;
 }
 
-void advanceDraining(WaveContext& context, const VmMaintenance& entry, const VmWatch& watch)
+void advanceDraining(WaveContext& context, const VmMaintenance& entry, const VmPhaseState& phaseState)
 {
-    if (isDrained(context, entry, watch)) {
+    if (isDrained(context, entry, phaseState)) {
         auto next = entry.to.isEmpty() ? MaintenancePhase::Rebooting : MaintenancePhase::Moving;
         context.draft.find(entry.vm)->phase = next;
         context.report(WaveEventKind::Drained, entry.vm, entry.wave);
     } else if (!context.view.wave(entry.wave) && !entry.isRollback) {
         cancelDrain(context, entry, WaveEventKind::DrainCancelled);
-    } else if (watch.drainDeadline.hasPassed(context.now)) {
+    } else if (phaseState.drainDeadline.hasPassed(context.now)) {
         cancelDrain(context, entry, WaveEventKind::DrainTimedOut);
     }
 }
@@ -57,16 +57,16 @@
     context.report(WaveEventKind::Finished, entry.vm, entry.wave);
 }
 
-void advanceJoining(WaveContext& context, const VmMaintenance& entry, const VmWatch& watch)
+void advanceJoining(WaveContext& context, const VmMaintenance& entry, const VmPhaseState& phaseState)
 {
     const auto* observation = context.view.observation(entry.vm);
-    const bool hasAnswered = observation && observation->askedAt >= watch.since;
+    const bool hasAnswered = observation && observation->askedAt >= phaseState.since;
     if (hasAnswered && context.view.isServing(context.now, entry.vm)
         && context.view.isAppliedEverywhere(context.now, entry.documentRevision))
         finish(context, entry);
 }
 
-void advanceVm(WaveContext& context, const VmMaintenance& entry, const VmWatch& watch)
+void advanceVm(WaveContext& context, const VmMaintenance& entry, const VmPhaseState& phaseState)
 {
     const auto* pool = context.view.poolOf(entry.vm);
     if (!pool && entry.phase != MaintenancePhase::Rebooting) {
@@ -76,10 +76,10 @@
     }
     switch (entry.phase) {
     case MaintenancePhase::Draining:
-        advanceDraining(context, entry, watch);
+        advanceDraining(context, entry, phaseState);
         break;
     case MaintenancePhase::Rebooting:
-        if (watch.rebootDone)
+        if (phaseState.rebootDone)
             rejoin(context, entry);
         break;
     case MaintenancePhase::Moving:
@@ -87,7 +87,7 @@
             rejoin(context, entry);
         break;
     case MaintenancePhase::Joining:
-        advanceJoining(context, entry, watch);
+        advanceJoining(context, entry, phaseState);
         break;
     }
 }
@@ -110,8 +110,8 @@
 {
     const auto entries = context.draft.vms;
     for (const auto& entry : entries) {
-        auto found = context.watches.find(entry.vm);
-        if (found != context.watches.end() && found->second.revision == entry.revision)
+        auto found = context.phaseStates.find(entry.vm);
+        if (found != context.phaseStates.end() && found->second.revision == entry.revision)
             advanceVm(context, entry, found->second);
     }
 }
--- a/modules/fleet/maintenance/systems/VmWatch.h
+++ b/modules/fleet/maintenance/systems/VmPhaseState.h
@@ -11,7 +11,7 @@
 
 /// What one daemon has observed of a VM out of service since it first saw the VM in its present phase. Losing it costs
 /// only time: the next daemon waits from the start.
-struct VmWatch {
+struct VmPhaseState {
     std::uint64_t revision = 0;
     MaintenancePhase phase = MaintenancePhase::Draining;
     Instant since = Instant::min();
--- a/modules/fleet/maintenance/systems/WaveContext.h
+++ b/modules/fleet/maintenance/systems/WaveContext.h
@@ -2,7 +2,7 @@
 
 #include <core/time/Instant.h>
 #include <fleet/maintenance/messages/WaveEvent.h>
-#include <fleet/maintenance/systems/VmWatch.h>
+#include <fleet/maintenance/systems/VmPhaseState.h>
 
 #include <unordered_map>
 #include <vector>
@@ -18,7 +18,7 @@
     const FleetView& view;
     /// The ledger as it will be written.
     MaintenanceLedger& draft;
-    const std::unordered_map<VmId, VmWatch>& watches;
+    const std::unordered_map<VmId, VmPhaseState>& phaseStates;
     /// The events to emit once the write has succeeded.
     std::vector<WaveEvent>& events;
 
--- a/modules/fleet/requests/limits/AllotmentPlan.cpp
+++ b/modules/fleet/requests/limits/AllotmentPlan.cpp
@@ -27,11 +27,11 @@
 {
 }
 
-AllotmentBook AllotmentPlan::draft() const
+AllotmentTable AllotmentPlan::draft() const
 {
     const auto& tables = this->tick.tables;
     const auto& self = tables.self.incarnation;
-    auto draft = this->state.book;
+    auto draft = this->state.allotments;
     for (const auto& team : draft.teamsOf(self)) {
         if (!tables.findTeam(team))
             draft.assign(team, self, std::min(draft.unitsOf(team, self), tables.usageOf(team).running));
@@ -47,8 +47,8 @@
     TeamDemandView view;
     view.team = team.name;
     view.limit = team.limit;
-    view.held = this->state.book.unitsOf(team.name, tables.self.incarnation);
-    view.free = team.limit - this->state.book.sumOf(team.name);
+    view.held = this->state.allotments.unitsOf(team.name, tables.self.incarnation);
+    view.free = team.limit - this->state.allotments.sumOf(team.name);
     view.running = tables.usageOf(team.name).running;
     view.waiting = tables.usageOf(team.name).waiting;
     int reachable = view.free + view.held;
@@ -60,7 +60,7 @@
         bool isPeer = daemon.incarnation != tables.self.incarnation;
         view.peersWaiting += isPeer ? daemon.waiting : 0;
         view.peerStarves = view.peerStarves || (isPeer && this->starves(daemon, view));
-        reachable += isPeer ? this->state.book.unitsOf(team.name, daemon.incarnation) : 0;
+        reachable += isPeer ? this->state.allotments.unitsOf(team.name, daemon.incarnation) : 0;
         demands.push_back(daemon.running + daemon.waiting);
     }
     double total = std::accumulate(demands.begin(), demands.end(), 0.0);
@@ -78,7 +78,7 @@
 
 bool AllotmentPlan::starves(const DaemonDemand& daemon, const TeamDemandView& view) const
 {
-    return daemon.waiting > 0 && 2 * this->state.book.unitsOf(view.team, daemon.incarnation) < view.equalShare;
+    return daemon.waiting > 0 && 2 * this->state.allotments.unitsOf(view.team, daemon.incarnation) < view.equalShare;
 }
 
 void AllotmentPlan::capStarts(const TeamDemandView& view) const
--- a/modules/fleet/requests/limits/AllotmentPlan.h
+++ b/modules/fleet/requests/limits/AllotmentPlan.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <core/text/Identifier.h>
-#include <fleet/requests/limits/AllotmentBook.h>
+#include <fleet/requests/limits/AllotmentTable.h>
 #include <fleet/requests/sharing/LiveDemand.h>
 #include <fleet/requests/tables/Tick.h>
 
@@ -19,8 +19,8 @@
 public:
     explicit AllotmentPlan(Tick&);
 
-    /// The newest book with this daemon's own allotments replaced by the planned ones.
-    AllotmentBook draft() const;
+    /// The newest allotment table with this daemon's own allotments replaced by the planned ones.
+    AllotmentTable draft() const;
 
 private:
     TeamDemandView viewOf(const Team&) const;
--- a/modules/fleet/requests/limits/AllotmentBook.cpp
+++ b/modules/fleet/requests/limits/AllotmentTable.cpp
@@ -1,4 +1,4 @@
-#include <fleet/requests/limits/AllotmentBook.h>
+#include <fleet/requests/limits/AllotmentTable.h>
 
 #include <config/json/JsonText.h>
 
@@ -6,11 +6,11 @@
 
 namespace Greengage {
 
-Result<AllotmentBook, AllotmentError> AllotmentBook::parse(std::string_view text)
+Result<AllotmentTable, AllotmentError> AllotmentTable::parse(std::string_view text)
 {
-    AllotmentBook book;
+    AllotmentTable table;
     if (text.empty())
-        return book;
+        return table;
     auto parsed = parseJson(text);
     if (parsed.has_error())
         return AllotmentError { parsed.error().message };
@@ -26,13 +26,13 @@
             if (!units.isInt() || units.asInt() < 0)
                 return AllotmentError { "team " + team + ": the units of incarnation " + incarnation
                     + " are not a non-negative integer" };
-            book.assign(TeamId(team), IncarnationId(incarnation), units.asInt());
+            table.assign(TeamId(team), IncarnationId(incarnation), units.asInt());
         }
     }
-    return book;
+    return table;
 }
 
-std::string AllotmentBook::format() const
+std::string AllotmentTable::format() const
 {
     Json::Value root;
     root["teams"] = Json::Value(Json::objectValue);
@@ -43,7 +43,7 @@
     return writeJson(root);
 }
 
-int AllotmentBook::unitsOf(const TeamId& team, const IncarnationId& incarnation) const
+int AllotmentTable::unitsOf(const TeamId& team, const IncarnationId& incarnation) const
 {
     auto allotments = this->units.find(team);
     if (allotments == this->units.end())
@@ -52,7 +52,7 @@
     return found == allotments->second.end() ? 0 : found->second;
 }
 
-int AllotmentBook::sumOf(const TeamId& team) const
+int AllotmentTable::sumOf(const TeamId& team) const
 {
     int sum = 0;
     auto allotments = this->units.find(team);
@@ -63,7 +63,7 @@
     return sum;
 }
 
-void AllotmentBook::assign(const TeamId& team, const IncarnationId& incarnation, int count)
+void AllotmentTable::assign(const TeamId& team, const IncarnationId& incarnation, int count)
 {
     if (count > 0) {
         this->units[team][incarnation] = count;
@@ -77,7 +77,7 @@
         this->units.erase(allotments);
 }
 
-std::vector<TeamId> AllotmentBook::teamsOf(const IncarnationId& incarnation) const
+std::vector<TeamId> AllotmentTable::teamsOf(const IncarnationId& incarnation) const
 {
     std::vector<TeamId> teams;
     for (const auto& [team, allotments] : this->units) {
@@ -87,7 +87,7 @@
     return teams;
 }
 
-std::vector<IncarnationId> AllotmentBook::incarnations() const
+std::vector<IncarnationId> AllotmentTable::incarnations() const
 {
     std::set<IncarnationId> found;
     for (const auto& [team, allotments] : this->units) {
--- a/modules/fleet/requests/limits/AllotmentBook.h
+++ b/modules/fleet/requests/limits/AllotmentTable.h
@@ -13,10 +13,10 @@
 
 /// The division of every team's upper limit into allotments, one for each daemon incarnation that holds any. It is
 /// stored as one value and changed only by compare-and-swap.
-class AllotmentBook {
+class AllotmentTable {
 public:
-    /// Parses the text that `format` writes; an empty text is an empty book.
-    static Result<AllotmentBook, AllotmentError> parse(std::string_view text);
+    /// Parses the text that `format` writes; an empty text is an empty table.
+    static Result<AllotmentTable, AllotmentError> parse(std::string_view text);
     std::string format() const;
 
     int unitsOf(const TeamId&, const IncarnationId&) const;
@@ -28,7 +28,7 @@
     std::vector<TeamId> teamsOf(const IncarnationId&) const;
     std::vector<IncarnationId> incarnations() const;
 
-    friend bool operator==(const AllotmentBook&, const AllotmentBook&) = default;
+    friend bool operator==(const AllotmentTable&, const AllotmentTable&) = default;
 
 private:
     std::map<TeamId, std::map<IncarnationId, int>> units;
--- a/modules/fleet/requests/limits/EscrowState.h
+++ b/modules/fleet/requests/limits/EscrowState.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <core/time/Deadline.h>
-#include <fleet/requests/limits/AllotmentBook.h>
+#include <fleet/requests/limits/AllotmentTable.h>
 #include <fleet/requests/limits/ExpiredIncarnation.h>
 #include <fleet/requests/limits/TeamEscrow.h>
 
@@ -12,11 +12,11 @@
 
 /// What this daemon knows of the allotments of the teams' limits, and the state of its own writes to them.
 struct EscrowState {
-    /// The newest book that has been read, and its version in the store. Before the first read it counts as absent; if
-    /// it exists, the first write, which expects version 0, fails.
-    AllotmentBook book;
+    /// The newest allotment table that has been read, and its version in the store. Before the first read it counts as
+    /// absent; if it exists, the first write, which expects version 0, fails.
+    AllotmentTable allotments;
     std::uint64_t version = 0;
-    /// Whether the newest book could be parsed.
+    /// Whether the newest allotment table could be parsed.
     bool readable = true;
     bool writeUnderWay = false;
     /// Whether a write of this daemon may still take effect.
@@ -28,7 +28,7 @@
     /// Maximum of usable units of a team while a write that lowers its allotment is not settled.
     std::map<TeamId, int> ceilings;
     /// Set after a loss of contact during which others may have reclaimed the allotments of this daemon. A successful
-    /// write clears it, because that proves that the book read last is current.
+    /// write clears it, because that proves that the allotment table read last is current.
     bool isVoid = false;
     /// Until when contact with the store and the peers lasts, as computed in the last tick.
     Instant contactEnd = Instant::max();
--- a/modules/fleet/requests/limits/ExpiredAllotments.cpp
+++ b/modules/fleet/requests/limits/ExpiredAllotments.cpp
@@ -52,7 +52,7 @@
     auto& expired = this->state.expired;
     std::erase_if(expired, [&](const auto& entry) { return !this->isExpired(entry.first); });
     bool due = false;
-    for (const auto& incarnation : this->state.book.incarnations()) {
+    for (const auto& incarnation : this->state.allotments.incarnations()) {
         if (!this->isExpired(incarnation))
             continue;
         ExpiredIncarnation found { Deadline::after(this->tick.now, reclaimDelay), {} };
@@ -100,7 +100,7 @@
     return running;
 }
 
-void ExpiredAllotments::reclaim(AllotmentBook& draft) const
+void ExpiredAllotments::reclaim(AllotmentTable& draft) const
 {
     if (!this->isResponsible())
         return;
--- a/modules/fleet/requests/limits/ExpiredAllotments.h
+++ b/modules/fleet/requests/limits/ExpiredAllotments.h
@@ -5,7 +5,7 @@
 
 namespace Greengage {
 
-class AllotmentBook;
+class AllotmentTable;
 struct ExpiredIncarnation;
 struct EscrowState;
 struct RunningReported;
@@ -20,7 +20,7 @@
     void handle(const RunningReported&);
     /// Finds expired incarnations, and queries the endpoints if this daemon is the one to reclaim.
     void askEndpoints();
-    void reclaim(AllotmentBook&) const;
+    void reclaim(AllotmentTable&) const;
 
 private:
     bool isExpired(const IncarnationId&) const;
--- a/modules/fleet/requests/limits/LimitEscrow.cpp
+++ b/modules/fleet/requests/limits/LimitEscrow.cpp
@@ -75,11 +75,11 @@
     if (read.version <= this->state.version)
         return;
     this->state.version = read.version;
-    auto book = AllotmentBook::parse(read.value);
-    this->state.readable = book.has_value();
-    if (!book.has_value())
+    auto table = AllotmentTable::parse(read.value);
+    this->state.readable = table.has_value();
+    if (!table.has_value())
         return;
-    this->state.book = std::move(book).value();
+    this->state.allotments = std::move(table).value();
     this->state.nextWriteAt = Deadline::after(this->tick.now, writeInterval);
 }
 
@@ -104,7 +104,7 @@
         return this->equalShare(team);
     if (!this->state.readable || this->state.isVoid)
         return 0;
-    int units = this->state.book.unitsOf(team, this->tick.tables.self.incarnation);
+    int units = this->state.allotments.unitsOf(team, this->tick.tables.self.incarnation);
     auto ceiling = this->state.ceilings.find(team);
     return ceiling == this->state.ceilings.end() ? units : std::min(units, ceiling->second);
 }
@@ -122,7 +122,7 @@
     const Team* team = this->tick.tables.findTeam(name);
     if (!team)
         return true;
-    if (this->state.book.sumOf(name) > team->limit)
+    if (this->state.allotments.sumOf(name) > team->limit)
         return false;
     int units = this->usableUnits(name);
     auto teamEscrow = this->state.teams.find(name);
@@ -165,13 +165,13 @@
     auto draft = AllotmentPlan(this->tick).draft();
     ExpiredAllotments(this->tick).reclaim(draft);
     bool mustWrite = this->state.isVoid || this->state.unsettled;
-    if (draft == this->state.book && !mustWrite) {
+    if (draft == this->state.allotments && !mustWrite) {
         this->state.quietUntil = Deadline::after(this->tick.now, quietPlanInterval);
         return;
     }
-    for (const auto& team : this->state.book.teamsOf(self)) {
+    for (const auto& team : this->state.allotments.teamsOf(self)) {
         int units = draft.unitsOf(team, self);
-        if (units >= this->state.book.unitsOf(team, self))
+        if (units >= this->state.allotments.unitsOf(team, self))
             continue;
         auto ceiling = this->state.ceilings.try_emplace(team, units).first;
         ceiling->second = std::min(ceiling->second, units);
@@ -196,10 +196,11 @@
 {
     const auto& tables = this->tick.tables;
     const auto& self = tables.self.incarnation;
-    auto teams = this->state.book.teamsOf(self);
+    auto teams = this->state.allotments.teamsOf(self);
     return !this->state.writeUnderWay && !this->state.unsettled
-        && std::all_of(teams.begin(), teams.end(),
-            [&](const TeamId& team) { return this->state.book.unitsOf(team, self) <= tables.usageOf(team).running; });
+        && std::all_of(teams.begin(), teams.end(), [&](const TeamId& team) {
+               return this->state.allotments.unitsOf(team, self) <= tables.usageOf(team).running;
+           });
 }
 
 } // namespace Greengage
--- a/modules/fleet/tests/LimitEscrowTests.cpp
+++ b/modules/fleet/tests/LimitEscrowTests.cpp
@@ -1,5 +1,5 @@
 #include <boost/test/unit_test.hpp>
-#include <fleet/requests/limits/AllotmentBook.h>
+#include <fleet/requests/limits/AllotmentTable.h>
 #include <fleet/requests/sharing/ProportionalDivision.h>
 #include <fleet/tests/PlaneFixture.h>
 #include <fleet/tests/simulation/SimulatedFleet.h>
@@ -143,15 +143,15 @@
     BOOST_TEST(divideByWeight(5, { 0, 0 }) == (std::vector<int> { 0, 0 }), boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(bookRoundTripsAndRejectsInvalidText)
+BOOST_AUTO_TEST_CASE(allotmentTableRoundTripsAndRejectsInvalidText)
 {
-    AllotmentBook book;
-    book.assign(TeamId("a"), IncarnationId("i1"), 3);
-    book.assign(TeamId("a"), IncarnationId("i2"), 4);
-    BOOST_TEST((AllotmentBook::parse(book.format()).value() == book));
-    BOOST_TEST(book.sumOf(TeamId("a")) == 7);
-    BOOST_TEST(AllotmentBook::parse("{\"teams\":{\"a\":{\"i1\":-1}}}").has_error());
-    BOOST_TEST(AllotmentBook::parse("[]").has_error());
+    AllotmentTable table;
+    table.assign(TeamId("a"), IncarnationId("i1"), 3);
+    table.assign(TeamId("a"), IncarnationId("i2"), 4);
+    BOOST_TEST((AllotmentTable::parse(table.format()).value() == table));
+    BOOST_TEST(table.sumOf(TeamId("a")) == 7);
+    BOOST_TEST(AllotmentTable::parse("{\"teams\":{\"a\":{\"i1\":-1}}}").has_error());
+    BOOST_TEST(AllotmentTable::parse("[]").has_error());
 }
 
 BOOST_FIXTURE_TEST_CASE(longLossOfContactVoidsAllotmentsUntilAWriteSucceeds, PlaneFixture)
