--- a/modules/cli/admin/AdminClient.cpp
+++ b/modules/cli/admin/AdminClient.cpp
@@ -18,7 +18,7 @@
 
 std::string formatAddress(const SocketAddress& daemon) { return fmt::format("{}:{}", daemon.address, daemon.port); }
 
-AdminError refusedError(const SocketAddress& daemon, const HttpAnswer& answer)
+AdminError refusedError(const SocketAddress& daemon, const HttpResponse& answer)
 {
     auto code = answer.status == unauthorisedStatus ? AdminErrorCode::NotAuthorised : AdminErrorCode::Refused;
     return { code, fmt::format("{} answered with status {}", formatAddress(daemon), answer.status), answer.status,
@@ -37,20 +37,20 @@
 {
 }
 
-Result<HttpAnswer, AdminError> AdminClient::sendRequest(
+Result<HttpResponse, AdminError> AdminClient::sendRequest(
     const SocketAddress& daemon, const std::string& path, const std::string* body, Milliseconds timeout)
 {
-    HttpCall call;
+    HttpRequest call;
     call.address = daemon.address;
     call.port = daemon.port;
     call.path = path;
     call.timeout = timeout;
     call.headers.push_back({ "Authorization", "Bearer " + this->key });
-    call.post = body != nullptr;
+    call.isPost = body != nullptr;
     if (body != nullptr)
         call.body = *body;
-    std::optional<Result<HttpAnswer, HttpFailure>> outcome;
-    this->http.send(std::move(call), [&](Result<HttpAnswer, HttpFailure> result) { outcome = std::move(result); });
+    std::optional<Result<HttpResponse, HttpFailure>> outcome;
+    this->http.send(std::move(call), [&](Result<HttpResponse, HttpFailure> result) { outcome = std::move(result); });
     while (!outcome)
         event_base_loop(&this->base, EVLOOP_ONCE);
     if (outcome->has_error()) {
@@ -63,7 +63,7 @@
     return std::move(outcome->value());
 }
 
-Result<HttpAnswer, AdminError> AdminClient::get(const std::string& path)
+Result<HttpResponse, AdminError> AdminClient::get(const std::string& path)
 {
     AdminError lastError;
     for (std::size_t attempt = 0; attempt < this->daemonAddresses.size(); ++attempt) {
@@ -78,12 +78,12 @@
     return lastError;
 }
 
-Result<HttpAnswer, AdminError> AdminClient::getFrom(const SocketAddress& daemon, const std::string& path)
+Result<HttpResponse, AdminError> AdminClient::getFrom(const SocketAddress& daemon, const std::string& path)
 {
     return this->sendRequest(daemon, path, nullptr);
 }
 
-Result<HttpAnswer, AdminError> AdminClient::post(const std::string& path, const std::string& body)
+Result<HttpResponse, AdminError> AdminClient::post(const std::string& path, const std::string& body)
 {
     AdminError lastError;
     for (std::size_t attempt = 0; attempt < this->daemonAddresses.size(); ++attempt) {
@@ -96,7 +96,7 @@
     return lastError;
 }
 
-Result<HttpAnswer, AdminError> AdminClient::postToCurrent(const std::string& path, const std::string& body)
+Result<HttpResponse, AdminError> AdminClient::postToCurrent(const std::string& path, const std::string& body)
 {
     auto answer
         = this->sendRequest(this->daemonAddresses[this->currentDaemon], path, &body, AdminClient::submissionTimeout);
--- a/modules/cli/admin/AdminClient.h
+++ b/modules/cli/admin/AdminClient.h
@@ -6,8 +6,8 @@
 #include <config/settings/SocketAddress.h>
 #include <core/errors/Result.h>
 #include <core/time/Instant.h>
-#include <store/http/HttpAnswer.h>
 #include <store/http/HttpClient.h>
+#include <store/http/HttpResponse.h>
 
 #include <string>
 #include <vector>
@@ -31,17 +31,17 @@
 
     /// Sends a GET request. If a daemon cannot be reached, its answer is lost or has status 503, the next daemon is
     /// tried.
-    Result<HttpAnswer, AdminError> get(const std::string& path);
+    Result<HttpResponse, AdminError> get(const std::string& path);
 
     /// Sends a POST request to the first daemon that can be reached. If the answer is lost, the request is not
     /// repeated, because it may have taken effect.
-    Result<HttpAnswer, AdminError> post(const std::string& path, const std::string& body);
+    Result<HttpResponse, AdminError> post(const std::string& path, const std::string& body);
 
     /// Sends a POST request to the current daemon only. After a failure, the next daemon becomes the current one.
-    Result<HttpAnswer, AdminError> postToCurrent(const std::string& path, const std::string& body);
+    Result<HttpResponse, AdminError> postToCurrent(const std::string& path, const std::string& body);
 
     /// Sends a GET request to the given daemon, without failover.
-    Result<HttpAnswer, AdminError> getFrom(const SocketAddress& daemon, const std::string& path);
+    Result<HttpResponse, AdminError> getFrom(const SocketAddress& daemon, const std::string& path);
 
     Result<DocumentRecord, AdminError> readDocument();
     Result<StatusReport, AdminError> readStatus();
@@ -54,7 +54,7 @@
     const std::vector<SocketAddress>& daemons() const { return this->daemonAddresses; }
 
 private:
-    Result<HttpAnswer, AdminError> sendRequest(const SocketAddress&, const std::string& path, const std::string* body,
+    Result<HttpResponse, AdminError> sendRequest(const SocketAddress&, const std::string& path, const std::string* body,
         Milliseconds timeout = AdminClient::requestTimeout);
 
     event_base& base;
--- a/modules/store/http/HttpClient.cpp
+++ b/modules/store/http/HttpClient.cpp
@@ -25,7 +25,7 @@
     {
     }
 
-    void send(const HttpCall& call, Callback callback)
+    void send(const HttpRequest& call, Callback callback)
     {
         auto finished
             = [this, callback = std::move(callback)](HttpExchange& exchange) { this->finish(exchange, callback); };
@@ -38,7 +38,7 @@
     void closeIdleConnections() { this->idleByAddress.clear(); }
 
 private:
-    std::unique_ptr<HttpConnection> acquireConnection(const HttpCall& call)
+    std::unique_ptr<HttpConnection> acquireConnection(const HttpRequest& call)
     {
         auto found = this->idleByAddress.find({ call.address, call.port });
         if (found == this->idleByAddress.end() || found->second.empty() || call.freshConnection)
@@ -76,7 +76,7 @@
 
 HttpClient::~HttpClient() = default;
 
-void HttpClient::send(HttpCall call, Callback callback) { this->implementation->send(call, std::move(callback)); }
+void HttpClient::send(HttpRequest call, Callback callback) { this->implementation->send(call, std::move(callback)); }
 
 void HttpClient::closeIdleConnections() { this->implementation->closeIdleConnections(); }
 
--- a/modules/store/http/HttpClient.h
+++ b/modules/store/http/HttpClient.h
@@ -1,9 +1,9 @@
 #pragma once
 
 #include <core/errors/Result.h>
-#include <store/http/HttpAnswer.h>
-#include <store/http/HttpCall.h>
 #include <store/http/HttpFailure.h>
+#include <store/http/HttpRequest.h>
+#include <store/http/HttpResponse.h>
 
 #include <functional>
 #include <memory>
@@ -18,7 +18,7 @@
 /// resent.
 class HttpClient {
 public:
-    using Callback = std::function<void(Result<HttpAnswer, HttpFailure>)>;
+    using Callback = std::function<void(Result<HttpResponse, HttpFailure>)>;
 
     /// `sourceAddress` is the local address that connections are bound to.
     HttpClient(event_base&, std::string sourceAddress);
@@ -30,7 +30,7 @@
     /// Calls the callback exactly once, never from within `send`, and no later than the call's timeout (counted from
     /// the last part of the response if `extendsOnProgress` is set). Destroying the client drops the calls in progress
     /// without calling back.
-    void send(HttpCall, Callback);
+    void send(HttpRequest, Callback);
 
     /// Closes the idle connections, so that later calls open new ones.
     void closeIdleConnections();
--- a/modules/store/http/HttpExchange.cpp
+++ b/modules/store/http/HttpExchange.cpp
@@ -22,9 +22,9 @@
     return { seconds.count(), std::chrono::duration_cast<Microseconds>(span - seconds).count() };
 }
 
-HttpAnswer toAnswer(evhttp_request* request)
+HttpResponse toResponse(evhttp_request* request)
 {
-    HttpAnswer answer;
+    HttpResponse answer;
     answer.status = evhttp_request_get_response_code(request);
     auto* fields = evhttp_request_get_input_headers(request);
     for (auto* field = fields->tqh_first; field; field = field->next.tqe_next)
@@ -33,7 +33,7 @@
     return answer;
 }
 
-bool closesConnection(const HttpAnswer& answer)
+bool closesConnection(const HttpResponse& answer)
 {
     std::string value(answer.header("Connection"));
     std::transform(value.begin(), value.end(), value.begin(), [](unsigned char c) { return std::tolower(c); });
@@ -52,7 +52,7 @@
 
 HttpExchange::~HttpExchange() { event_free(this->timer); }
 
-void HttpExchange::start(const HttpCall& call)
+void HttpExchange::start(const HttpRequest& call)
 {
     auto limit = toTimeval(call.timeout);
     event_add(this->timer, &limit);
@@ -75,7 +75,7 @@
         return;
     }
     evbuffer_add(evhttp_request_get_output_buffer(request), call.body.data(), call.body.size());
-    auto method = call.post || !call.body.empty() ? EVHTTP_REQ_POST : EVHTTP_REQ_GET;
+    auto method = call.isPost || !call.body.empty() ? EVHTTP_REQ_POST : EVHTTP_REQ_GET;
     if (evhttp_make_request(this->connection->handle(), request, method, call.path.c_str()) != 0)
         this->fail("cannot connect");
 }
@@ -95,7 +95,7 @@
         exchange.fail("connection broken");
         return;
     }
-    auto answer = toAnswer(request);
+    auto answer = toResponse(request);
     exchange.reusable = !closesConnection(answer);
     exchange.complete(std::move(answer));
 }
--- a/modules/store/http/HttpExchange.h
+++ b/modules/store/http/HttpExchange.h
@@ -1,9 +1,9 @@
 #pragma once
 
 #include <core/errors/Result.h>
-#include <store/http/HttpAnswer.h>
-#include <store/http/HttpCall.h>
 #include <store/http/HttpFailure.h>
+#include <store/http/HttpRequest.h>
+#include <store/http/HttpResponse.h>
 
 #include <functional>
 #include <memory>
@@ -20,7 +20,7 @@
 /// Sends one request over a connection and waits for its response, with one timeout for both.
 class HttpExchange {
 public:
-    using Outcome = Result<HttpAnswer, HttpFailure>;
+    using Outcome = Result<HttpResponse, HttpFailure>;
     using Finished = std::function<void(HttpExchange&)>;
 
     /// `finished` is called once, from the event loop; it may destroy the exchange.
@@ -30,7 +30,7 @@
     HttpExchange(const HttpExchange&) = delete;
     HttpExchange& operator=(const HttpExchange&) = delete;
 
-    void start(const HttpCall&);
+    void start(const HttpRequest&);
 
     /// The response or the failure; call it once, after `finished`.
     Outcome takeOutcome() { return std::move(*this->outcome); }
--- a/modules/store/http/HttpCall.h
+++ b/modules/store/http/HttpRequest.h
@@ -10,12 +10,12 @@
 namespace Greengage {
 
 /// An HTTP request for HttpClient::send.
-struct HttpCall {
+struct HttpRequest {
     /// IP address in text form.
     std::string address;
     std::uint16_t port = 0;
-    /// POST if there is a body or `post` is set, otherwise GET.
-    bool post = false;
+    /// POST if there is a body or `isPost` is set, otherwise GET.
+    bool isPost = false;
     std::string path;
     std::vector<HttpHeader> headers;
     std::string body;
--- a/modules/store/http/HttpAnswer.cpp
+++ b/modules/store/http/HttpResponse.cpp
@@ -1,4 +1,4 @@
-#include <store/http/HttpAnswer.h>
+#include <store/http/HttpResponse.h>
 
 #include <algorithm>
 #include <cctype>
@@ -15,7 +15,7 @@
 
 } // namespace
 
-std::string_view HttpAnswer::header(std::string_view name) const
+std::string_view HttpResponse::header(std::string_view name) const
 {
     for (const auto& field : this->headers) {
         if (equalIgnoringCase(field.name, name))
--- a/modules/store/http/HttpAnswer.h
+++ b/modules/store/http/HttpResponse.h
@@ -9,7 +9,7 @@
 namespace Greengage {
 
 /// A complete HTTP response.
-struct HttpAnswer {
+struct HttpResponse {
     int status = 0;
     std::vector<HttpHeader> headers;
     std::string body;
--- a/modules/store/store.h
+++ b/modules/store/store.h
@@ -2,10 +2,10 @@
 // Dependencies: core, loop, libevent, jsoncpp.
 #pragma once
 
-#include <store/http/HttpAnswer.h>
-#include <store/http/HttpCall.h>
 #include <store/http/HttpClient.h>
 #include <store/http/HttpFailure.h>
+#include <store/http/HttpRequest.h>
+#include <store/http/HttpResponse.h>
 #include <store/store/StoreClient.h>
 #include <store/store/StoreEntry.h>
 #include <store/store/StoreError.h>
--- a/modules/store/store/StoreAnswers.cpp
+++ b/modules/store/store/StoreAnswers.cpp
@@ -1,6 +1,6 @@
 #include <store/store/StoreAnswers.h>
 
-#include <store/http/HttpAnswer.h>
+#include <store/http/HttpResponse.h>
 #include <store/store/StoreEntry.h>
 #include <store/store/WatchResult.h>
 #include <store/vms/RebootStatus.h>
@@ -47,7 +47,7 @@
 
 } // namespace
 
-Result<Json::Value, StoreError> parse(const HttpAnswer& answer)
+Result<Json::Value, StoreError> parse(const HttpResponse& answer)
 {
     if (answer.status != 200)
         return malformed("HTTP status is not 200: " + std::to_string(answer.status));
--- a/modules/store/store/StoreAnswers.h
+++ b/modules/store/store/StoreAnswers.h
@@ -9,7 +9,7 @@
 
 namespace Greengage {
 
-struct HttpAnswer;
+struct HttpResponse;
 struct RebootStatus;
 struct StoreEntry;
 struct VmRecord;
@@ -20,7 +20,7 @@
 namespace StoreAnswers {
 
 /// The JSON object in a response with status 200.
-Result<Json::Value, StoreError> parse(const HttpAnswer&);
+Result<Json::Value, StoreError> parse(const HttpResponse&);
 
 Result<StoreEntry, StoreError> toEntry(const Json::Value&, const std::string& key);
 /// The version that resulted from a write or an erase.
--- a/modules/store/store/StoreClient.cpp
+++ b/modules/store/store/StoreClient.cpp
@@ -50,10 +50,10 @@
     {
     }
 
-    HttpCall makeCall(std::string path, std::string body, Milliseconds timeout = callTimeout)
+    HttpRequest makeCall(std::string path, std::string body, Milliseconds timeout = callTimeout)
     {
         this->callCountByPath[path.starts_with(vmPrefix) ? rebootCountPath : path] += 1;
-        HttpCall call;
+        HttpRequest call;
         call.address = this->address;
         call.port = this->port;
         call.path = std::move(path);
@@ -64,9 +64,9 @@
 
     /// Sends a call and passes its answer, converted by `convert`, to the callback.
     template <typename Value, typename Convert>
-    void send(const HttpCall& call, Convert convert, Callback<Value> callback)
+    void send(const HttpRequest& call, Convert convert, Callback<Value> callback)
     {
-        this->client.send(call, [convert, callback = std::move(callback)](Result<HttpAnswer, HttpFailure> outcome) {
+        this->client.send(call, [convert, callback = std::move(callback)](Result<HttpResponse, HttpFailure> outcome) {
             if (!outcome) {
                 callback(toStoreError(outcome.error()));
                 return;
@@ -90,7 +90,7 @@
         auto call = this->makeCall("/v1/vms", "");
         if (this->listedVms)
             call.headers.push_back({ "If-None-Match", this->listEntityTag });
-        this->client.send(call, [this, callback = std::move(callback)](Result<HttpAnswer, HttpFailure> outcome) {
+        this->client.send(call, [this, callback = std::move(callback)](Result<HttpResponse, HttpFailure> outcome) {
             if (outcome)
                 callback(this->handleVmsAnswer(outcome.value()));
             else
@@ -101,7 +101,7 @@
     std::map<std::string, std::uint64_t> callCountByPath;
 
 private:
-    Result<Vms, StoreError> handleVmsAnswer(const HttpAnswer& answer)
+    Result<Vms, StoreError> handleVmsAnswer(const HttpResponse& answer)
     {
         if (answer.status == notModified && this->listedVms)
             return this->listedVms;
