--- a/modules/daemon/claims/ClaimWriter.cpp
+++ b/modules/daemon/claims/ClaimWriter.cpp
@@ -63,7 +63,7 @@
             return;
         }
         bool hadNoEffect
-            = written.error().code == StoreErrorCode::NotSent || written.error().code == StoreErrorCode::LeaseLapsed;
+            = written.error().code == StoreErrorCode::NotSent || written.error().code == StoreErrorCode::LeaseExpired;
         if (hadNoEffect)
             answered->second.mayBeWritten = mayBeWrittenBefore;
         this->handleFailure(id, leaseId, written.error());
@@ -73,7 +73,7 @@
 void ClaimWriter::handleFailure(std::uint64_t id, const std::string& leaseId, const StoreError& error)
 {
     switch (error.code) {
-    case StoreErrorCode::LeaseLapsed:
+    case StoreErrorCode::LeaseExpired:
         this->lease.discard(leaseId);
         this->retryLater(id);
         return;
--- a/modules/daemon/membership/Registration.cpp
+++ b/modules/daemon/membership/Registration.cpp
@@ -57,7 +57,7 @@
             return;
         }
         switch (written.error().code) {
-        case StoreErrorCode::LeaseLapsed:
+        case StoreErrorCode::LeaseExpired:
             this->leaseId.clear();
             this->scheduleStep(Milliseconds::zero());
             return;
@@ -92,7 +92,7 @@
             this->scheduleStep(renewInterval);
             return;
         }
-        bool hasExpired = renewed.error().code == StoreErrorCode::LeaseLapsed;
+        bool hasExpired = renewed.error().code == StoreErrorCode::LeaseExpired;
         if (hasExpired) {
             writeLog(LogLevel::Warning, LogLine("member_lease_expired").add("lease", this->leaseId));
             this->leaseId.clear();
--- a/modules/fleet/requests/attempts/AttemptTracker.cpp
+++ b/modules/fleet/requests/attempts/AttemptTracker.cpp
@@ -55,7 +55,7 @@
     case AttemptResult::Broken:
         this->handleLostAttempt(row, OutcomeReason::ConnectionBroken);
         return;
-    case AttemptResult::Silent:
+    case AttemptResult::TimedOut:
         this->tick.tables.runTimes[row.queue].addUnanswered(this->tick.now - row.sentAt);
         this->handleLostAttempt(row, OutcomeReason::AnswerTimedOut);
         return;
@@ -68,7 +68,7 @@
     if (found == this->tick.tables.endpoints.end())
         return;
     EndpointHealth health(found->second, this->tick.now);
-    bool endpointAnswersOthers = result == AttemptResult::Silent && found->second.answeredAt >= row.sentAt;
+    bool endpointAnswersOthers = result == AttemptResult::TimedOut && found->second.answeredAt >= row.sentAt;
     if (result == AttemptResult::Answered)
         health.recordAnswer();
     else if (result == AttemptResult::Refused)
--- a/modules/fleet/requests/dispatch/Dispatcher.cpp
+++ b/modules/fleet/requests/dispatch/Dispatcher.cpp
@@ -80,7 +80,7 @@
 
 bool Dispatcher::precedes(const RequestRow& row, const RequestRow& other) const
 {
-    if (this->tick.tables.policy.order == ServingOrder::FirstCome)
+    if (this->tick.tables.policy.order == ServingOrder::FirstComeFirstServed)
         return row.arrivedAt < other.arrivedAt;
     if (row.priority != other.priority)
         return row.priority < other.priority;
--- a/modules/fleet/requests/limits/LimitEscrow.cpp
+++ b/modules/fleet/requests/limits/LimitEscrow.cpp
@@ -100,7 +100,7 @@
 
 int LimitEscrow::usableUnits(const TeamId& team) const
 {
-    if (this->tick.tables.policy.limits == LimitSplit::EqualParts)
+    if (this->tick.tables.policy.limits == LimitSplit::EqualShares)
         return this->equalShare(team);
     if (!this->state.readable || this->state.isVoid)
         return 0;
--- a/modules/fleet/requests/messages/AttemptEnded.h
+++ b/modules/fleet/requests/messages/AttemptEnded.h
@@ -16,7 +16,7 @@
     /// Bytes were sent and the connection broke, or the answer was incomplete.
     Broken,
     /// Bytes were sent and no answer arrived before the attempt's deadline.
-    Silent,
+    TimedOut,
 };
 
 template <> struct EnumNames<AttemptResult> {
@@ -25,7 +25,7 @@
         { AttemptResult::NotSent, "not_sent" },
         { AttemptResult::Refused, "refused" },
         { AttemptResult::Broken, "broken" },
-        { AttemptResult::Silent, "silent" },
+        { AttemptResult::TimedOut, "silent" },
     } };
 };
 
--- a/modules/fleet/requests/messages/SendAttempt.h
+++ b/modules/fleet/requests/messages/SendAttempt.h
@@ -19,7 +19,7 @@
     TeamId team;
     /// Last instant at which the first byte may be sent.
     Deadline notAfter;
-    /// When the attempt times out and is reported as Silent.
+    /// When the attempt times out and is reported as TimedOut.
     Deadline answerBy;
     /// Whether a new connection must be opened instead of reusing an idle one.
     bool freshConnection = false;
--- a/modules/fleet/requests/policy/LimitSplit.h
+++ b/modules/fleet/requests/policy/LimitSplit.h
@@ -9,13 +9,13 @@
     /// Allotments that follow the demand.
     Escrow,
     /// Equal fixed shares for all listed daemons, as a baseline for comparison.
-    EqualParts,
+    EqualShares,
 };
 
 template <> struct EnumNames<LimitSplit> {
     static constexpr std::array<std::pair<LimitSplit, std::string_view>, 2> table { {
         { LimitSplit::Escrow, "escrow" },
-        { LimitSplit::EqualParts, "equal_parts" },
+        { LimitSplit::EqualShares, "equal_parts" },
     } };
 };
 
--- a/modules/fleet/requests/policy/ServingOrder.h
+++ b/modules/fleet/requests/policy/ServingOrder.h
@@ -10,13 +10,13 @@
     /// to its share.
     FairShares,
     /// In order of arrival, as a baseline for comparison.
-    FirstCome,
+    FirstComeFirstServed,
 };
 
 template <> struct EnumNames<ServingOrder> {
     static constexpr std::array<std::pair<ServingOrder, std::string_view>, 2> table { {
         { ServingOrder::FairShares, "fair_shares" },
-        { ServingOrder::FirstCome, "first_come" },
+        { ServingOrder::FirstComeFirstServed, "first_come" },
     } };
 };
 
--- a/modules/fleet/tests/ClaimTests.cpp
+++ b/modules/fleet/tests/ClaimTests.cpp
@@ -58,7 +58,7 @@
 {
     this->submitOrder("r1", "pallet-7");
     auto attempt = only<SendAttempt>(this->settle("r1", ClaimResult::Won));
-    auto outputs = this->tick(ended(attempt, AttemptResult::Silent));
+    auto outputs = this->tick(ended(attempt, AttemptResult::TimedOut));
     BOOST_TEST(pick<SendAttempt>(outputs).empty());
     BOOST_TEST((only<AnswerCaller>(outputs).outcome == Outcome::Unknown));
     BOOST_TEST(pick<WriteClaim>(this->submitOrder("r2", "pallet-7")).size() == 1);
--- a/modules/fleet/tests/GoldenSessionTests.cpp
+++ b/modules/fleet/tests/GoldenSessionTests.cpp
@@ -84,7 +84,7 @@
     this->tick(this->makeOrder("r2", "pallet-7"));
     this->tick(ClaimSettled { RequestId("r2"), ClaimResult::Held });
     this->clock.advance(Milliseconds(700));
-    this->tick(ended(attempt, AttemptResult::Silent));
+    this->tick(ended(attempt, AttemptResult::TimedOut));
     this->tick(this->makeOrder("r3", "pallet-8"));
     this->tick(ClaimSettled { RequestId("r3"), ClaimResult::Unsettled });
     this->wait(Milliseconds(300));
--- a/modules/fleet/tests/RequestPathTests.cpp
+++ b/modules/fleet/tests/RequestPathTests.cpp
@@ -85,7 +85,7 @@
 {
     this->startServing();
     auto attempt = only<SendAttempt>(this->tick(this->makeRequest("r1", "orders", "k1")));
-    this->tick(ended(attempt, AttemptResult::Silent));
+    this->tick(ended(attempt, AttemptResult::TimedOut));
     BOOST_TEST(this->plane.describe(this->clock.current()).demand.front().running == 1);
     this->clock.advance(Seconds(2));
     RunningWork still { RequestId("r1"), TeamId("booking"), IncarnationId("i1") };
--- a/modules/fleet/tests/RetryTests.cpp
+++ b/modules/fleet/tests/RetryTests.cpp
@@ -28,7 +28,7 @@
     this->clock.advance(Milliseconds(2500));
     this->tick(StoreConfirmed { this->clock.current(), 1 });
     this->clock.advance(Milliseconds(500));
-    auto second = only<SendAttempt>(this->tick(ended(first, AttemptResult::Silent)));
+    auto second = only<SendAttempt>(this->tick(ended(first, AttemptResult::TimedOut)));
     BOOST_TEST((second.endpoint != first.endpoint));
     BOOST_TEST(second.freshConnection);
     auto outputs = this->tick(ended(second, AttemptResult::Broken));
@@ -88,7 +88,7 @@
     auto longRun = this->submit("orders");
     for (int count = 0; count < 4; ++count)
         this->tick(ended(this->submit(), AttemptResult::Answered));
-    this->tick(ended(longRun, AttemptResult::Silent));
+    this->tick(ended(longRun, AttemptResult::TimedOut));
     auto endpoint = this->submit();
     BOOST_TEST(!endpoint.freshConnection);
 }
--- a/modules/fleet/tests/simulation/SimulatedFleetActions.cpp
+++ b/modules/fleet/tests/simulation/SimulatedFleetActions.cpp
@@ -142,7 +142,7 @@
     auto& endpoint = this->endpointOf(attempt.endpoint);
     auto end = [=, this](AttemptResult result) { this->endAttempt(index, incarnation, attempt, result); };
     if (endpoint.silent) {
-        this->after(attempt.answerBy.remaining(this->clock.current()), [=] { end(AttemptResult::Silent); });
+        this->after(attempt.answerBy.remaining(this->clock.current()), [=] { end(AttemptResult::TimedOut); });
         return;
     }
     if (endpoint.running.size() >= FakeEndpoint::slots) {
@@ -163,7 +163,7 @@
         if (broken)
             return;
         bool inTime = !attempt.answerBy.hasPassed(this->clock.current());
-        end(inTime ? AttemptResult::Answered : AttemptResult::Silent);
+        end(inTime ? AttemptResult::Answered : AttemptResult::TimedOut);
     });
 }
 
--- a/modules/gateway/endpoints/EndpointClient.cpp
+++ b/modules/gateway/endpoints/EndpointClient.cpp
@@ -33,7 +33,7 @@
     case ExchangeEnd::Broken:
         return AttemptResult::Broken;
     case ExchangeEnd::TimedOut:
-        return AttemptResult::Silent;
+        return AttemptResult::TimedOut;
     case ExchangeEnd::Completed:
         break;
     }
--- a/modules/gateway/tests/EndpointClientTests.cpp
+++ b/modules/gateway/tests/EndpointClientTests.cpp
@@ -179,7 +179,7 @@
     this->server.script = [](const std::string&) { return ScriptedServer::Reply {}; };
     SendAttempt attempt = this->makeAttempt();
     attempt.answerBy = Deadline::after(BootClock::now(), Milliseconds(100));
-    BOOST_TEST((this->run(attempt) == AttemptResult::Silent));
+    BOOST_TEST((this->run(attempt) == AttemptResult::TimedOut));
     this->server.script = answerCorrectly;
     BOOST_TEST((this->run(this->makeAttempt()) == AttemptResult::Answered));
     BOOST_TEST(this->server.connections == 2);
--- a/modules/store/store/StoreAnswers.cpp
+++ b/modules/store/store/StoreAnswers.cpp
@@ -82,7 +82,7 @@
 Result<std::uint64_t, StoreError> toVersion(const Json::Value& json)
 {
     if (json["error"].isString() && json["error"].asString() == "lease_lapsed")
-        return StoreError { StoreErrorCode::LeaseLapsed, 0, "the lease has lapsed" };
+        return StoreError { StoreErrorCode::LeaseExpired, 0, "the lease has lapsed" };
     if (!json["written"].isBool() || !isVersion(json["version"]))
         return malformed("the write answer has no boolean \"written\" or no valid \"version\"");
     if (!json["written"].asBool())
@@ -123,7 +123,7 @@
     if (!json["renewed"].isBool())
         return malformed("the renewal answer has no boolean \"renewed\"");
     if (!json["renewed"].asBool())
-        return StoreError { StoreErrorCode::LeaseLapsed, 0, "the lease has lapsed" };
+        return StoreError { StoreErrorCode::LeaseExpired, 0, "the lease has lapsed" };
     return true;
 }
 
--- a/modules/store/store/StoreClient.h
+++ b/modules/store/store/StoreClient.h
@@ -49,7 +49,7 @@
         Callback<WatchResult>);
     /// Calls back with the id of a lease that expires `timeToLive` after its last renewal.
     void grantLease(Milliseconds timeToLive, Callback<std::string>);
-    /// Calls back with true, or with LeaseLapsed if the lease has expired.
+    /// Calls back with true, or with LeaseExpired if the lease has expired.
     void renewLease(const std::string& leaseId, Callback<bool>);
     /// Calls back with the platform's list of VMs, which may be outdated. The request carries the entity tag of the
     /// last list, so an unchanged list is neither sent nor parsed again and the same object is returned.
--- a/modules/store/store/StoreError.h
+++ b/modules/store/store/StoreError.h
@@ -18,7 +18,7 @@
     /// The key does not exist.
     NotFound,
     /// The lease has expired.
-    LeaseLapsed,
+    LeaseExpired,
     /// The answer could not be parsed. A write may have taken effect.
     Malformed,
 };
@@ -29,7 +29,7 @@
         { StoreErrorCode::AnswerLost, "answer_lost" },
         { StoreErrorCode::Conflict, "conflict" },
         { StoreErrorCode::NotFound, "not_found" },
-        { StoreErrorCode::LeaseLapsed, "lease_lapsed" },
+        { StoreErrorCode::LeaseExpired, "lease_lapsed" },
         { StoreErrorCode::Malformed, "malformed" },
     } };
 };
