--- a/modules/daemon/admin/WaveApi.cpp
+++ b/modules/daemon/admin/WaveApi.cpp
@@ -59,7 +59,7 @@
     value["wave"] = wave.string();
     value["expectedSeconds"] = Json::Int64(plan.duration.count());
     value["lowerBoundSeconds"] = Json::Int64(plan.lowerBound.count());
-    value["bufferVms"] = plan.mostOut;
+    value["bufferVms"] = plan.maxOutOfService;
     value["steps"] = Json::Value(Json::arrayValue);
     for (const WavePlanStep& step : plan.steps) {
         Json::Value line(Json::objectValue);
--- a/modules/daemon/metrics/DaemonGauges.h
+++ b/modules/daemon/metrics/DaemonGauges.h
@@ -13,7 +13,7 @@
 struct DaemonGauges {
     std::uint64_t appliedRevision = 0;
     bool storeReachable = false;
-    int callerConnections = 0;
+    int callerConnectionCount = 0;
     std::uint64_t meshBytesSent = 0;
     std::uint64_t meshBytesReceived = 0;
     std::uint64_t ticks = 0;
--- a/modules/daemon/process/Daemon.cpp
+++ b/modules/daemon/process/Daemon.cpp
@@ -100,17 +100,17 @@
 Gateway::Handlers Daemon::gatewayHandlers()
 {
     Gateway::Handlers handlers;
-    handlers.input = [this](RequestInput input) {
+    handlers.onInput = [this](RequestInput input) {
         if (const auto* ended = std::get_if<AttemptEnded>(&input))
             this->observer.attemptEnded(*ended);
         if (const auto* running = std::get_if<RunningReported>(&input))
             this->maintenance.push(*running);
         this->push(std::move(input));
     };
-    handlers.answered = [this](const AnswerCaller& answer, const QueueId& queue, Microseconds latency) {
+    handlers.onAnswered = [this](const AnswerCaller& answer, const QueueId& queue, Microseconds latency) {
         this->observer.answered(answer, queue, latency);
     };
-    handlers.refused = [this](CallerRefusal refusal) { this->observer.refused(refusal); };
+    handlers.onRefused = [this](CallerRefusal refusal) { this->observer.refused(refusal); };
     handlers.isHealthy = [this] { return !this->shuttingDown && this->documents.known().record.has_value(); };
     handlers.metricsPage = [this] { return this->makeMetricsPage(); };
     return handlers;
@@ -344,7 +344,7 @@
     DaemonGauges gauges;
     gauges.appliedRevision = this->documents.known().appliedRevision();
     gauges.storeReachable = this->watcher.isReachable();
-    gauges.callerConnections = this->gateway.callerConnections();
+    gauges.callerConnectionCount = this->gateway.callerConnectionCount();
     gauges.meshBytesSent = this->peerExchange.bytesSent() + this->meshServer.bytesSent();
     gauges.meshBytesReceived = this->peerExchange.bytesReceived() + this->meshServer.bytesReceived();
     gauges.ticks = this->ticks;
@@ -358,7 +358,7 @@
 {
     if (this->shuttingDown)
         return;
-    writeLog(LogLevel::Info, LogLine("shutdown_started").add("connections", this->gateway.callerConnections()));
+    writeLog(LogLevel::Info, LogLine("shutdown_started").add("connections", this->gateway.callerConnectionCount()));
     this->shuttingDown = true;
     this->shutdownNoticeUntil = Deadline::after(BootClock::now(), shutdownNoticePeriod);
     this->gateway.beginClosing();
@@ -371,11 +371,11 @@
     if (this->deregistering || !isIdle || !this->shutdownNoticeUntil.hasPassed(now))
         return;
     if (this->closeConnectionsAt == Deadline()) {
-        writeLog(LogLevel::Info, LogLine("shutdown_drained").add("connections", this->gateway.callerConnections()));
+        writeLog(LogLevel::Info, LogLine("shutdown_drained").add("connections", this->gateway.callerConnectionCount()));
         this->gateway.closeListener();
         this->closeConnectionsAt = Deadline::after(now, connectionCloseTimeout);
     }
-    if (this->gateway.callerConnections() > 0 && !this->closeConnectionsAt.hasPassed(now))
+    if (this->gateway.callerConnectionCount() > 0 && !this->closeConnectionsAt.hasPassed(now))
         return;
     this->deregistering = true;
     this->registration.deregister([this] { this->finishShutdown(); });
--- a/modules/fleet/maintenance/plan/WavePlan.cpp
+++ b/modules/fleet/maintenance/plan/WavePlan.cpp
@@ -76,7 +76,7 @@
         events.clear();
         if (ledger.vms.empty())
             return;
-        plan.mostOut = std::max(plan.mostOut, static_cast<int>(ledger.vms.size()));
+        plan.maxOutOfService = std::max(plan.maxOutOfService, static_cast<int>(ledger.vms.size()));
         at += perVm;
         ledger.vms.clear();
         plan.duration = at;
--- a/modules/fleet/maintenance/plan/WavePlan.h
+++ b/modules/fleet/maintenance/plan/WavePlan.h
@@ -23,7 +23,7 @@
     /// The minimum time that the budgets and the expected time per VM allow in any order.
     Seconds lowerBound {};
     /// The maximum number of VMs out of service at once: the spare capacity to provide while the wave runs.
-    int mostOut = 0;
+    int maxOutOfService = 0;
 };
 
 /// Plans a wave of the document over the listed VMs, each expected to be out of service for `perVm`.
--- a/modules/fleet/placement/model/PlacementProfile.cpp
+++ b/modules/fleet/placement/model/PlacementProfile.cpp
@@ -26,7 +26,7 @@
     profile.borrows = false;
     profile.preemptsForUrgent = false;
     profile.preemptsForShares = false;
-    profile.setsAsideWorkers = false;
+    profile.quarantinesWorkers = false;
     profile.packsTightly = false;
     profile.ordersByShare = false;
     profile.checkpointsOnDrain = false;
--- a/modules/fleet/placement/model/PlacementProfile.h
+++ b/modules/fleet/placement/model/PlacementProfile.h
@@ -22,7 +22,7 @@
     bool borrows = true;
     bool preemptsForUrgent = true;
     bool preemptsForShares = true;
-    bool setsAsideWorkers = true;
+    bool quarantinesWorkers = true;
     /// Whether the fullest worker with enough free capacity is chosen, instead of the first.
     bool packsTightly = true;
     /// Whether teams furthest below their share go first, instead of the oldest job.
--- a/modules/fleet/placement/systems/HealthSystem.cpp
+++ b/modules/fleet/placement/systems/HealthSystem.cpp
@@ -39,7 +39,7 @@
 void recordWorkerFailure(PlacementTables& tables, const Attempt& attempt)
 {
     auto* worker = tables.workers.find(attempt.worker);
-    if (!worker || !tables.profile.setsAsideWorkers)
+    if (!worker || !tables.profile.quarantinesWorkers)
         return;
     worker->failedJobs.insert(attempt.job);
     const bool hasFailedProbe = worker->health == WorkerHealth::Probing;
--- a/modules/fleet/requests/attempts/EndpointHealth.cpp
+++ b/modules/fleet/requests/attempts/EndpointHealth.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-/// Number of consecutive failures that do not yet set an endpoint aside.
+/// Number of consecutive failures that do not yet quarantine an endpoint.
 constexpr int failuresTolerated = 2;
 constexpr int maxDoublings = 4;
-constexpr Milliseconds firstSetAside { 1000 };
+constexpr Milliseconds firstQuarantineTime { 1000 };
 constexpr Milliseconds refusalPause { 50 };
 
 } // namespace
@@ -25,7 +25,7 @@
 {
     this->endpoint.answeredAt = this->now;
     this->endpoint.consecutiveFailures = 0;
-    this->endpoint.setAsideUntil = Deadline();
+    this->endpoint.quarantinedUntil = Deadline();
 }
 
 void EndpointHealth::recordFailure()
@@ -33,8 +33,8 @@
     this->endpoint.consecutiveFailures += 1;
     int beyond = this->endpoint.consecutiveFailures - failuresTolerated - 1;
     if (beyond >= 0)
-        this->endpoint.setAsideUntil
-            = Deadline::after(this->now, firstSetAside * (1 << std::min(beyond, maxDoublings)));
+        this->endpoint.quarantinedUntil
+            = Deadline::after(this->now, firstQuarantineTime * (1 << std::min(beyond, maxDoublings)));
 }
 
 void EndpointHealth::recordRefusal() { this->endpoint.pausedUntil = Deadline::after(this->now, refusalPause); }
@@ -45,7 +45,7 @@
 {
     if (!this->endpoint.pausedUntil.hasPassed(this->now))
         return false;
-    return this->isHealthy() || (this->endpoint.setAsideUntil.hasPassed(this->now) && this->endpoint.running == 0);
+    return this->isHealthy() || (this->endpoint.quarantinedUntil.hasPassed(this->now) && this->endpoint.running == 0);
 }
 
 } // namespace Greengage
--- a/modules/fleet/requests/attempts/EndpointHealth.h
+++ b/modules/fleet/requests/attempts/EndpointHealth.h
@@ -6,7 +6,7 @@
 
 struct EndpointRow;
 
-/// Circuit breaker of an endpoint: sets it aside after several consecutive failures, for a time that doubles with each
+/// Circuit breaker of an endpoint: quarantines it after several consecutive failures, for a time that doubles with each
 /// further failure, and then admits one request at a time until one is answered.
 class EndpointHealth {
 public:
--- a/modules/fleet/requests/dispatch/EndpointSelection.h
+++ b/modules/fleet/requests/dispatch/EndpointSelection.h
@@ -22,7 +22,7 @@
 
 private:
     bool isCandidate(const EndpointRow&, const RequestRow&) const;
-    /// The candidate with the fewest consecutive failures, used when all candidates are set aside: trying one of them
+    /// The candidate with the fewest consecutive failures, used when all candidates are quarantined: trying one of them
     /// is better than trying none.
     EndpointRow* fewestFailures(const RequestRow&, SlotShares&) const;
     bool isBetter(const EndpointRow&, const EndpointRow& best) const;
--- a/modules/fleet/requests/tables/EndpointRow.h
+++ b/modules/fleet/requests/tables/EndpointRow.h
@@ -29,7 +29,7 @@
     /// When it last answered.
     Instant answeredAt = Instant::min();
     /// Until this time the endpoint gets no requests because it kept failing.
-    Deadline setAsideUntil;
+    Deadline quarantinedUntil;
     /// Until this time the endpoint gets no requests because it refused one for lack of a free slot.
     Deadline pausedUntil;
     /// When it may next be queried for its running requests.
--- a/modules/fleet/tests/ClaimTests.cpp
+++ b/modules/fleet/tests/ClaimTests.cpp
@@ -107,17 +107,18 @@
 {
     constexpr int seeds = 20;
     int orders = 0;
-    int begun = 0;
+    int started = 0;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         auto result = runOrders(true, seed);
-        BOOST_TEST(result.begunTwice == 0, "seed " << seed << ": orders started more than once: " << result.begunTwice);
-        BOOST_TEST(result.untrueNotRun == 0,
+        BOOST_TEST(
+            result.startedTwice == 0, "seed " << seed << ": orders started more than once: " << result.startedTwice);
+        BOOST_TEST(result.falseNotRun == 0,
             "seed " << seed << ": submissions answered \"not run\" although an endpoint had started them: "
-                    << result.untrueNotRun);
+                    << result.falseNotRun);
         orders += result.orders;
-        begun += result.begun;
+        started += result.started;
     }
-    BOOST_TEST(begun > orders / 2);
+    BOOST_TEST(started > orders / 2);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/modules/fleet/tests/LimitEscrowTests.cpp
+++ b/modules/fleet/tests/LimitEscrowTests.cpp
@@ -32,7 +32,7 @@
         this->fleet.accept(makeDocument(1, this->limit, this->fleet.options.endpointsPerService));
         for (std::size_t daemon = 0; daemon < this->fleet.daemons.size(); ++daemon)
             this->fleet.start(daemon);
-        this->fleet.onBegin = [this](const RunningWork&) {
+        this->fleet.onStart = [this](const RunningWork&) {
             int running = this->fleet.runningOf("booking");
             this->worstExcess = std::max(this->worstExcess, running - this->effectiveLimit());
         };
@@ -242,7 +242,7 @@
     for (std::size_t daemon = 0; daemon < fleet.daemons.size(); ++daemon)
         fleet.start(daemon);
     int mostRunning = 0;
-    fleet.onBegin = [&](const RunningWork&) { mostRunning = std::max(mostRunning, fleet.runningOf("booking")); };
+    fleet.onStart = [&](const RunningWork&) { mostRunning = std::max(mostRunning, fleet.runningOf("booking")); };
     fleet.run(Seconds(3));
     for (int count = 0; count < 10; ++count)
         fleet.submit(0, "quotes", "k1", Seconds(20), Seconds(90));
@@ -275,7 +275,7 @@
             [](const OutcomeRecord& record) { return record.ended && record.outcome == Outcome::Answered; });
         BOOST_TEST(answered > 100, "seed " << seed << " answered only " << answered);
         auto untrue = std::count_if(schedule.fleet.records.begin(), schedule.fleet.records.end(),
-            [](const OutcomeRecord& record) { return record.reportedNotRun() && record.begun > 0; });
+            [](const OutcomeRecord& record) { return record.reportedNotRun() && record.started > 0; });
         BOOST_TEST(untrue == 0,
             "seed " << seed << ": " << untrue
                     << " requests were answered \"not run\" although an endpoint had started them");
--- a/modules/fleet/tests/PolicyTargetTests.cpp
+++ b/modules/fleet/tests/PolicyTargetTests.cpp
@@ -62,8 +62,8 @@
     for (std::size_t daemon = 0; daemon < fleet.daemons.size(); ++daemon)
         fleet.start(daemon);
     fleet.run(Seconds(5));
-    Instant lastBegun = Instant::min();
-    fleet.onBegin = [&](const RunningWork&) { lastBegun = fleet.clock.current(); };
+    Instant lastStart = Instant::min();
+    fleet.onStart = [&](const RunningWork&) { lastStart = fleet.clock.current(); };
     auto withdrawnAt = fleet.clock.current();
     auto document = makeSampleDocument(2, 1, 60, options.endpointsPerService);
     document->keys.clear();
@@ -75,8 +75,8 @@
         fleet.submit(static_cast<std::size_t>(fleet.pick(options.daemons)), "q0", "k0", Seconds(15), Milliseconds(50));
         fleet.run(Milliseconds(20));
     }
-    BOOST_TEST((lastBegun > withdrawnAt));
-    BOOST_TEST((lastBegun <= withdrawnAt + Seconds(5)));
+    BOOST_TEST((lastStart > withdrawnAt));
+    BOOST_TEST((lastStart <= withdrawnAt + Seconds(5)));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/modules/fleet/tests/RetryTests.cpp
+++ b/modules/fleet/tests/RetryTests.cpp
@@ -56,7 +56,7 @@
     BOOST_TEST(extraSends >= firstSends / 20);
 }
 
-BOOST_AUTO_TEST_CASE(failingEndpointIsSetAsideAndProbedUntilItAnswers)
+BOOST_AUTO_TEST_CASE(failingEndpointIsQuarantinedAndProbedUntilItAnswers)
 {
     for (int failure = 0; failure < 3; ++failure) {
         auto attempt = this->submit();
@@ -73,7 +73,7 @@
     BOOST_TEST(this->submit().endpoint.string() == "e1");
 }
 
-BOOST_AUTO_TEST_CASE(endpointWithFewestFailuresIsTriedWhenAllAreSetAside)
+BOOST_AUTO_TEST_CASE(endpointWithFewestFailuresIsTriedWhenAllAreQuarantined)
 {
     for (int failure = 0; failure < 3; ++failure) {
         auto first = this->submit();
--- a/modules/fleet/tests/maintenance/FakeFleet.cpp
+++ b/modules/fleet/tests/maintenance/FakeFleet.cpp
@@ -254,7 +254,7 @@
     daemon.ledgerRevision = daemon.plane->ledger().revision;
     daemon.draining = daemon.plane->ledger().outOfService();
     for (const auto& output : outputs)
-        this->carryOut(index, output);
+        this->execute(index, output);
     this->sendWork(daemon);
 }
 
@@ -291,12 +291,12 @@
     }
 }
 
-void FakeFleet::carryOut(std::size_t index, const MaintenanceOutput& output)
+void FakeFleet::execute(std::size_t index, const MaintenanceOutput& output)
 {
-    std::visit([&](const auto& message) { this->carryOut(index, message); }, output);
+    std::visit([&](const auto& message) { this->execute(index, message); }, output);
 }
 
-void FakeFleet::carryOut(std::size_t index, const ReadLedger&)
+void FakeFleet::execute(std::size_t index, const ReadLedger&)
 {
     if (this->isStoreUp() && !this->isCutFromPlatform(this->daemons[index].zone))
         this->deliver(
@@ -305,7 +305,7 @@
         this->deliver(index, Milliseconds(1000), LedgerReadFailed {});
 }
 
-void FakeFleet::carryOut(std::size_t index, const UpdateLedger& update)
+void FakeFleet::execute(std::size_t index, const UpdateLedger& update)
 {
     if (!this->isStoreUp() || this->isCutFromPlatform(this->daemons[index].zone)) {
         this->deliver(index, Milliseconds(500), LedgerWriteFailed {});
@@ -318,7 +318,7 @@
         this->deliver(index, Milliseconds(this->pick(100, 3000)), LedgerWriteFailed {});
 }
 
-void FakeFleet::carryOut(std::size_t index, const RebootVm& reboot)
+void FakeFleet::execute(std::size_t index, const RebootVm& reboot)
 {
     if (this->isCutFromPlatform(this->daemons[index].zone))
         return;
@@ -338,7 +338,7 @@
             RebootReported { reboot.vm, vm.operation, this->now >= vm.rebootingUntil });
 }
 
-void FakeFleet::carryOut(std::size_t index, const MoveVm& move)
+void FakeFleet::execute(std::size_t index, const MoveVm& move)
 {
     if (!this->isStoreUp() || this->isCutFromPlatform(this->daemons[index].zone))
         return;
@@ -361,7 +361,7 @@
     this->checkDocument();
 }
 
-void FakeFleet::carryOut(std::size_t index, const QueryRunning& query)
+void FakeFleet::execute(std::size_t index, const QueryRunning& query)
 {
     const auto& vm = this->vms.at(query.endpoint);
     if (this->isCut(this->daemons[index].zone, vm.record.zone) || vm.isDown(this->now))
--- a/modules/fleet/tests/maintenance/FakeFleet.h
+++ b/modules/fleet/tests/maintenance/FakeFleet.h
@@ -57,15 +57,15 @@
     void tickDaemon(std::size_t);
     void sendWork(FakeDaemon&);
     void exchangePeerStates(std::size_t);
-    void carryOut(std::size_t, const MaintenanceOutput&);
-    void carryOut(std::size_t, const ReadLedger&);
-    void carryOut(std::size_t, const UpdateLedger&);
-    void carryOut(std::size_t, const RebootVm&);
-    void carryOut(std::size_t, const MoveVm&);
-    void carryOut(std::size_t, const QueryRunning&);
-    void carryOut(std::size_t, const CommandSettled& settled) { this->settled.push_back(settled); }
-    void carryOut(std::size_t, const WaveEvent& event) { this->eventCounts[event.kind]++; }
-    void carryOut(std::size_t, const LedgerUnreadable&) { this->violations.emplace_back("ledger unreadable"); }
+    void execute(std::size_t, const MaintenanceOutput&);
+    void execute(std::size_t, const ReadLedger&);
+    void execute(std::size_t, const UpdateLedger&);
+    void execute(std::size_t, const RebootVm&);
+    void execute(std::size_t, const MoveVm&);
+    void execute(std::size_t, const QueryRunning&);
+    void execute(std::size_t, const CommandSettled& settled) { this->settled.push_back(settled); }
+    void execute(std::size_t, const WaveEvent& event) { this->eventCounts[event.kind]++; }
+    void execute(std::size_t, const LedgerUnreadable&) { this->violations.emplace_back("ledger unreadable"); }
     void deliver(std::size_t daemon, Milliseconds delay, MaintenanceInput);
     bool isCut(const ZoneId&, const ZoneId&) const;
     bool isCutFromPlatform(const ZoneId& zone) const { return this->isCut(zone, ZoneId("platform")); }
--- a/modules/fleet/tests/maintenance/WavePlanTests.cpp
+++ b/modules/fleet/tests/maintenance/WavePlanTests.cpp
@@ -45,7 +45,7 @@
     auto document = makeDocument(vms, 3, 4);
     auto plan = planWave(document, vms, document->waves[0], Seconds(30));
     BOOST_TEST(plan.steps.size() == 12U);
-    BOOST_TEST(plan.mostOut == 2);
+    BOOST_TEST(plan.maxOutOfService == 2);
     BOOST_TEST(plan.lowerBound.count() == 180);
     BOOST_TEST(plan.duration.count() == 180);
     BOOST_TEST(plan.waiting.empty());
@@ -58,7 +58,7 @@
     vms[0].state = VmState::Leaving;
     auto plan = planWave(document, vms, document->waves[0], Seconds(30));
     BOOST_TEST(plan.steps.size() == 3U);
-    BOOST_TEST(plan.mostOut == 1);
+    BOOST_TEST(plan.maxOutOfService == 1);
     BOOST_TEST((plan.waiting == std::vector<VmId> { VmId("0-0") }));
 }
 
--- a/modules/fleet/tests/placement/FakeSite.cpp
+++ b/modules/fleet/tests/placement/FakeSite.cpp
@@ -96,7 +96,7 @@
     auto outputs = this->plane.tick(this->now, std::move(this->inbox));
     this->inbox.clear();
     for (const auto& output : outputs)
-        std::visit([this](const auto& message) { this->carryOut(message); }, output);
+        std::visit([this](const auto& message) { this->execute(message); }, output);
     if (++this->stepCount % this->checkInterval == 0)
         this->check();
 }
@@ -134,7 +134,7 @@
     task.attempt = 0;
 }
 
-void FakeSite::carryOut(const StartTask& start)
+void FakeSite::execute(const StartTask& start)
 {
     this->startCount++;
     const auto index = this->indexOf(start.worker);
@@ -160,7 +160,7 @@
     this->tasks.push_back({ start.attempt, &job, index, this->now + job.remaining, this->now, Instant::max() });
 }
 
-void FakeSite::carryOut(const StopTask& stop)
+void FakeSite::execute(const StopTask& stop)
 {
     if (this->isCut(this->indexOf(stop.worker)))
         return;
@@ -176,10 +176,10 @@
         std::erase_if(this->tasks, [](const FakeTask& entry) { return entry.attempt == 0; });
         return;
     }
-    this->carryOut(QueryAttempt { stop.attempt, stop.worker, stop.workerBoot });
+    this->execute(QueryAttempt { stop.attempt, stop.worker, stop.workerBoot });
 }
 
-void FakeSite::carryOut(const QueryAttempt& query)
+void FakeSite::execute(const QueryAttempt& query)
 {
     if (this->isCut(this->indexOf(query.worker)))
         return;
@@ -196,7 +196,7 @@
         this->report(query.attempt, AttemptStatus::FailedToStart, {});
 }
 
-void FakeSite::carryOut(const JobEnded& ended)
+void FakeSite::execute(const JobEnded& ended)
 {
     auto& job = this->jobs.at(ended.job);
     if (job.outcome)
--- a/modules/fleet/tests/placement/FakeSite.h
+++ b/modules/fleet/tests/placement/FakeSite.h
@@ -55,12 +55,12 @@
 private:
     void step();
     void listWorkers();
-    void carryOut(const StartTask&);
-    void carryOut(const StopTask&);
-    void carryOut(const QueryAttempt&);
-    void carryOut(const ThrottleTask&) { }
-    void carryOut(const JobEnded&);
-    void carryOut(const WorkerQuarantined& quarantined) { this->quarantineCounts[quarantined.worker]++; }
+    void execute(const StartTask&);
+    void execute(const StopTask&);
+    void execute(const QueryAttempt&);
+    void execute(const ThrottleTask&) { }
+    void execute(const JobEnded&);
+    void execute(const WorkerQuarantined& quarantined) { this->quarantineCounts[quarantined.worker]++; }
     void advance(FakeTask&);
     void endTask(FakeTask&, AttemptStatus);
     void report(std::uint64_t attempt, AttemptStatus, const Resources&);
--- a/modules/fleet/tests/simulation/FakeEndpoint.h
+++ b/modules/fleet/tests/simulation/FakeEndpoint.h
@@ -16,7 +16,7 @@
     VmRecord vm;
     std::map<RequestId, RunningWork> running;
     /// Whether it accepts connections and never answers.
-    bool silent = false;
+    bool unresponsive = false;
     /// Number of requests that it refused because all slots were in use.
     int refusals = 0;
 };
--- a/modules/fleet/tests/simulation/OrderRun.cpp
+++ b/modules/fleet/tests/simulation/OrderRun.cpp
@@ -25,7 +25,7 @@
         break;
     case 70: {
         auto& endpoint = fleet.endpoints[static_cast<std::size_t>(fleet.pick(fleet.options.endpointsPerService))];
-        endpoint.silent = !endpoint.silent;
+        endpoint.unresponsive = !endpoint.unresponsive;
         break;
     }
     default:
@@ -37,17 +37,17 @@
 {
     OrderResult result;
     result.orders = orders;
-    std::map<int, int> begun;
+    std::map<int, int> started;
     for (const auto& [index, order] : orderOf) {
         const auto& record = fleet.records[index];
-        begun[order] += record.begun;
+        started[order] += record.started;
         result.submissions += 1;
         result.unknown += record.ended && record.outcome == Outcome::Unknown ? 1 : 0;
-        result.untrueNotRun += record.reportedNotRun() && record.begun > 0 ? 1 : 0;
+        result.falseNotRun += record.reportedNotRun() && record.started > 0 ? 1 : 0;
     }
-    for (const auto& [order, count] : begun) {
-        result.begun += count > 0 ? 1 : 0;
-        result.begunTwice += count > 1 ? 1 : 0;
+    for (const auto& [order, count] : started) {
+        result.started += count > 0 ? 1 : 0;
+        result.startedTwice += count > 1 ? 1 : 0;
     }
     return result;
 }
--- a/modules/fleet/tests/simulation/OutcomeRecord.h
+++ b/modules/fleet/tests/simulation/OutcomeRecord.h
@@ -17,7 +17,7 @@
     Outcome outcome = Outcome::NotRun;
     OutcomeReason reason = OutcomeReason::None;
     /// Number of times that an endpoint started it.
-    int begun = 0;
+    int started = 0;
     /// Number of times that bytes of it were sent.
     int sends = 0;
 };
--- a/modules/fleet/tests/simulation/SimulatedFleet.h
+++ b/modules/fleet/tests/simulation/SimulatedFleet.h
@@ -53,7 +53,7 @@
     std::vector<OutcomeRecord> records;
     std::set<VmId> draining;
     /// Called when an endpoint starts a request.
-    std::function<void(const RunningWork&)> onBegin;
+    std::function<void(const RunningWork&)> onStart;
 
 private:
     bool connected(const ZoneId&, const ZoneId&) const;
--- a/modules/fleet/tests/simulation/SimulatedFleetActions.cpp
+++ b/modules/fleet/tests/simulation/SimulatedFleetActions.cpp
@@ -102,7 +102,7 @@
     auto incarnation = this->daemons[daemon].identity.incarnation;
     this->after(this->options.networkDelay, [=, this] {
         const auto& endpoint = this->endpointOf(query.endpoint);
-        if (endpoint.silent || !this->connected(this->daemons[daemon].identity.zone, endpoint.vm.zone))
+        if (endpoint.unresponsive || !this->connected(this->daemons[daemon].identity.zone, endpoint.vm.zone))
             return;
         RunningReported report { query.endpoint, askedAt, {} };
         for (const auto& [id, work] : endpoint.running)
@@ -141,7 +141,7 @@
 {
     auto& endpoint = this->endpointOf(attempt.endpoint);
     auto end = [=, this](AttemptResult result) { this->endAttempt(index, incarnation, attempt, result); };
-    if (endpoint.silent) {
+    if (endpoint.unresponsive) {
         this->after(attempt.answerBy.remaining(this->clock.current()), [=] { end(AttemptResult::TimedOut); });
         return;
     }
@@ -152,9 +152,9 @@
     }
     RunningWork work { attempt.request, attempt.team, incarnation };
     endpoint.running[attempt.request] = work;
-    this->records[std::stoul(attempt.request.string())].begun += 1;
-    if (this->onBegin)
-        this->onBegin(work);
+    this->records[std::stoul(attempt.request.string())].started += 1;
+    if (this->onStart)
+        this->onStart(work);
     bool broken = this->uniform() < this->options.brokenAttempts;
     if (broken)
         this->after(Milliseconds(2), [=] { end(AttemptResult::Broken); });
--- a/modules/gateway/traffic/Gateway.cpp
+++ b/modules/gateway/traffic/Gateway.cpp
@@ -11,12 +11,12 @@
     : address(std::move(address))
     , handlers(std::move(handlers))
     , callers(base, limits, incarnation,
-          { [this](RequestArrived arrived) { this->handlers.input(std::move(arrived)); },
-              [this](CallerDisconnected disconnected) { this->handlers.input(std::move(disconnected)); },
+          { [this](RequestArrived arrived) { this->handlers.onInput(std::move(arrived)); },
+              [this](CallerDisconnected disconnected) { this->handlers.onInput(std::move(disconnected)); },
               [this](const AnswerCaller& answer, const QueueId& queue, Microseconds latency) {
-                  this->handlers.answered(answer, queue, latency);
+                  this->handlers.onAnswered(answer, queue, latency);
               },
-              [this](CallerRefusal refusal) { this->handlers.refused(refusal); },
+              [this](CallerRefusal refusal) { this->handlers.onRefused(refusal); },
               [this] { return this->handlers.isHealthy(); }, [this] { return this->handlers.metricsPage(); } })
     , endpoints(base, this->address, incarnation)
 {
@@ -31,7 +31,7 @@
 {
     const PendingRequest* pending = this->callers.findPending(attempt.request);
     if (!pending) {
-        this->handlers.input(
+        this->handlers.onInput(
             AttemptEnded { attempt.request, attempt.attempt, attempt.endpoint, AttemptResult::NotSent });
         return;
     }
@@ -40,7 +40,7 @@
             PendingRequest* waiting = this->callers.findPending(ended.request);
             if (waiting && ended.result == AttemptResult::Answered)
                 waiting->answers[ended.attempt] = std::move(answer);
-            this->handlers.input(ended);
+            this->handlers.onInput(ended);
         });
 }
 
@@ -48,7 +48,7 @@
 
 void Gateway::queryRunning(const QueryRunning& query)
 {
-    this->endpoints.queryRunning(query, [this](RunningReported report) { this->handlers.input(std::move(report)); });
+    this->endpoints.queryRunning(query, [this](RunningReported report) { this->handlers.onInput(std::move(report)); });
 }
 
 } // namespace Greengage
--- a/modules/gateway/traffic/Gateway.h
+++ b/modules/gateway/traffic/Gateway.h
@@ -24,9 +24,9 @@
 class Gateway {
 public:
     struct Handlers {
-        std::function<void(RequestInput)> input;
-        std::function<void(const AnswerCaller&, const QueueId&, Microseconds latency)> answered;
-        std::function<void(CallerRefusal)> refused;
+        std::function<void(RequestInput)> onInput;
+        std::function<void(const AnswerCaller&, const QueueId&, Microseconds latency)> onAnswered;
+        std::function<void(CallerRefusal)> onRefused;
         std::function<bool()> isHealthy;
         std::function<std::string()> metricsPage;
     };
@@ -48,7 +48,7 @@
         return this->callers.pendingRequestCount() == 0 && this->endpoints.activeExchangeCount() == 0;
     }
 
-    int callerConnections() const { return this->callers.connectionCount(); }
+    int callerConnectionCount() const { return this->callers.connectionCount(); }
 
 private:
     std::string address;
