--- a/modules/cli/commands/KeyGrantCommand.cpp
+++ b/modules/cli/commands/KeyGrantCommand.cpp
@@ -23,11 +23,11 @@
 void printKey(CommandContext& context, const GeneratedKey& key)
 {
     if (!context.options.json) {
-        context.out << "key, shown only this once: " << key.shown << "\n";
+        context.out << "key, shown only this once: " << key.presentedKey << "\n";
         return;
     }
     Json::Value json(Json::objectValue);
-    json["key"] = key.shown;
+    json["key"] = key.presentedKey;
     context.out << writeJson(json) << "\n";
 }
 
@@ -56,7 +56,7 @@
     BOOST_OUTCOME_TRY(authorName, CommandSupport::resolveAuthor(this->author));
     BOOST_OUTCOME_TRY(client, CommandSupport::createClient(context));
     BOOST_OUTCOME_TRY(record, CommandSupport::toCommandResult(client->readDocument()));
-    auto blocks = divideIntoBlocks(record.text);
+    auto blocks = splitIntoBlocks(record.text);
     if (findBlock(blocks, "section key " + this->name) != nullptr)
         return refusedError(
             fmt::format("the document already has a key \"{}\"; withdraw it first or choose another name", this->name));
--- a/modules/cli/commands/KeyWithdrawCommand.cpp
+++ b/modules/cli/commands/KeyWithdrawCommand.cpp
@@ -34,7 +34,7 @@
     BOOST_OUTCOME_TRY(authorName, CommandSupport::resolveAuthor(this->author));
     BOOST_OUTCOME_TRY(client, CommandSupport::createClient(context));
     BOOST_OUTCOME_TRY(record, CommandSupport::toCommandResult(client->readDocument()));
-    auto blocks = divideIntoBlocks(record.text);
+    auto blocks = splitIntoBlocks(record.text);
     auto removed = std::erase_if(blocks, [&](const TextBlock& block) { return block.header == "key " + this->name; });
     if (removed == 0)
         return CommandError { ExitCode::Refused, fmt::format("the document has no [key {}]", this->name), {} };
--- a/modules/cli/commands/StatusCommand.cpp
+++ b/modules/cli/commands/StatusCommand.cpp
@@ -39,7 +39,7 @@
     TextTable table({ "DAEMON", "ZONE", "REVISION", "HEARD" });
     for (const auto& daemon : status.daemons) {
         table.add({ daemon.daemon.string(), daemon.zone.string(), std::to_string(daemon.revision),
-            fmt::format("{:.1f} s ago", static_cast<double>(daemon.heardMillisecondsAgo) / 1000) });
+            fmt::format("{:.1f} s ago", static_cast<double>(daemon.lastSeenMillisecondsAgo) / 1000) });
     }
     out << "\n" << table.text();
 }
--- a/modules/cli/tests/FakeDaemon.cpp
+++ b/modules/cli/tests/FakeDaemon.cpp
@@ -19,7 +19,7 @@
     std::string baseText;
     if (auto change = DocumentAcceptance::baseChange(fleet.record, submission))
         baseText = fleet.history[*change];
-    auto outcome = DocumentAcceptance::judge(fleet.record, baseText, submission, fleet.unixMilliseconds);
+    auto outcome = DocumentAcceptance::evaluate(fleet.record, baseText, submission, fleet.unixMilliseconds);
     if (const auto* accepted = std::get_if<AcceptedChange>(&outcome)) {
         fleet.record = accepted->record;
         fleet.history[submission.changeId] = fleet.record.text;
@@ -112,7 +112,7 @@
         --this->fleet.staleStatusReports;
         --report.inForceRevision;
         --report.daemons.back().revision;
-        report.daemons.back().heardMillisecondsAgo = 1500;
+        report.daemons.back().lastSeenMillisecondsAgo = 1500;
     }
     report.waves = { { WaveId("kernel-update"), "running", 3, 2, { VmId("vm-1-2") } } };
     report.endpoints = { { VmId("vm-1-1"), ServiceId("pricing"), "live", 3 },
--- a/modules/config/acceptance/DocumentAcceptance.cpp
+++ b/modules/config/acceptance/DocumentAcceptance.cpp
@@ -131,7 +131,7 @@
     return found->changeId;
 }
 
-AcceptanceOutcome DocumentAcceptance::judge(const DocumentRecord& current, std::string_view baseText,
+AcceptanceOutcome DocumentAcceptance::evaluate(const DocumentRecord& current, std::string_view baseText,
     const DocumentSubmission& submission, std::int64_t nowUnixMilliseconds)
 {
     if (const auto* earlier = findChange(current, submission.changeId))
--- a/modules/config/admin/AdminCodec.cpp
+++ b/modules/config/admin/AdminCodec.cpp
@@ -32,8 +32,8 @@
     BOOST_OUTCOME_TRY(json, parseJson(text));
     CodecError error;
     MemberReader reader(json, error);
-    DocumentSubmission submission { reader.text("changeId"), reader.text("author"), reader.count("baseRevision"),
-        reader.text("text") };
+    DocumentSubmission submission { reader.string("changeId"), reader.string("author"), reader.uint64("baseRevision"),
+        reader.string("text") };
     if (error.message.empty() && json.size() != 4)
         return CodecError {
             "a submission must have the members changeId, author, baseRevision and text, and no others"
@@ -57,7 +57,7 @@
     BOOST_OUTCOME_TRY(json, parseJson(text));
     CodecError error;
     MemberReader reader(json, error);
-    ApplyAnswer answer { reader.count("revision"), reader.flag("inForce"), reader.texts("behind") };
+    ApplyAnswer answer { reader.uint64("revision"), reader.boolean("inForce"), reader.strings("behind") };
     return valueOrError(std::move(answer), error);
 }
 
@@ -82,8 +82,8 @@
     MemberReader reader(json, error);
     SectionConflicts conflicts;
     for (const auto& entry : reader.list("conflicts")) {
-        auto inner = reader.inner(entry);
-        conflicts.list.push_back({ inner.text("section"), inner.text("changedBy"), inner.count("revision") });
+        auto nested = reader.nested(entry);
+        conflicts.list.push_back({ nested.string("section"), nested.string("changedBy"), nested.uint64("revision") });
     }
     return valueOrError(std::move(conflicts), error);
 }
@@ -110,9 +110,9 @@
     MemberReader reader(json, error);
     ConfigErrors errors;
     for (const auto& entry : reader.list("errors")) {
-        auto inner = reader.inner(entry);
+        auto nested = reader.nested(entry);
         errors.list.push_back(
-            { inner.text("section"), inner.text("key"), inner.integer("line"), inner.text("message") });
+            { nested.string("section"), nested.string("key"), nested.integer("line"), nested.string("message") });
     }
     return valueOrError(std::move(errors), error);
 }
--- a/modules/config/admin/DaemonStatus.h
+++ b/modules/config/admin/DaemonStatus.h
@@ -13,7 +13,7 @@
     /// Revision of the document that the daemon has reported as applied.
     std::uint64_t revision = 0;
     /// Milliseconds since its last message; 0 for the daemon that answers.
-    std::int64_t heardMillisecondsAgo = 0;
+    std::int64_t lastSeenMillisecondsAgo = 0;
 };
 
 } // namespace Greengage
--- a/modules/config/admin/StatusCodec.cpp
+++ b/modules/config/admin/StatusCodec.cpp
@@ -13,7 +13,7 @@
     json["daemon"] = status.daemon.string();
     json["zone"] = status.zone.string();
     json["revision"] = Json::UInt64(status.revision);
-    json["heardMillisecondsAgo"] = Json::Int64(status.heardMillisecondsAgo);
+    json["heardMillisecondsAgo"] = Json::Int64(status.lastSeenMillisecondsAgo);
     return json;
 }
 
@@ -51,22 +51,22 @@
 void readDaemons(MemberReader& report, std::vector<DaemonStatus>& daemons)
 {
     for (const auto& entry : report.list("daemons")) {
-        auto reader = report.inner(entry);
-        daemons.push_back({ DaemonId(reader.text("daemon")), ZoneId(reader.text("zone")), reader.count("revision"),
-            reader.whole("heardMillisecondsAgo") });
+        auto reader = report.nested(entry);
+        daemons.push_back({ DaemonId(reader.string("daemon")), ZoneId(reader.string("zone")), reader.uint64("revision"),
+            reader.int64("heardMillisecondsAgo") });
     }
 }
 
 void readWaves(MemberReader& report, std::vector<WaveStatus>& waves)
 {
     for (const auto& entry : report.list("waves")) {
-        auto reader = report.inner(entry);
+        auto reader = report.nested(entry);
         WaveStatus wave;
-        wave.wave = WaveId(reader.text("wave"));
-        wave.state = reader.text("state");
+        wave.wave = WaveId(reader.string("wave"));
+        wave.state = reader.string("state");
         wave.remaining = reader.integer("remaining");
         wave.done = reader.integer("done");
-        for (auto& vm : reader.texts("stuck"))
+        for (auto& vm : reader.strings("stuck"))
             wave.stuck.push_back(VmId(std::move(vm)));
         waves.push_back(std::move(wave));
     }
@@ -75,8 +75,8 @@
 void readEndpoints(MemberReader& report, std::vector<EndpointStatus>& endpoints)
 {
     for (const auto& entry : report.list("endpoints")) {
-        auto reader = report.inner(entry);
-        endpoints.push_back({ VmId(reader.text("vm")), ServiceId(reader.text("service")), reader.text("state"),
+        auto reader = report.nested(entry);
+        endpoints.push_back({ VmId(reader.string("vm")), ServiceId(reader.string("service")), reader.string("state"),
             reader.integer("running") });
     }
 }
@@ -103,11 +103,11 @@
     CodecError error;
     MemberReader reader(json, error);
     StatusReport report;
-    report.daemon = DaemonId(reader.text("daemon"));
-    report.revision = reader.count("revision");
-    report.inForceRevision = reader.count("inForceRevision");
-    report.storeReachable = reader.flag("storeReachable");
-    report.fresh = reader.flag("fresh");
+    report.daemon = DaemonId(reader.string("daemon"));
+    report.revision = reader.uint64("revision");
+    report.inForceRevision = reader.uint64("inForceRevision");
+    report.storeReachable = reader.boolean("storeReachable");
+    report.fresh = reader.boolean("fresh");
     readDaemons(reader, report.daemons);
     readWaves(reader, report.waves);
     readEndpoints(reader, report.endpoints);
--- a/modules/config/document/DocumentBuilder.cpp
+++ b/modules/config/document/DocumentBuilder.cpp
@@ -48,7 +48,7 @@
         return;
     this->currentHeader = section.header;
     (this->*adder->second)(reader, std::move(name), section.line);
-    reader.finish();
+    reader.reportUnknownKeys();
 }
 
 bool DocumentBuilder::registerHeader(const IniSection& section)
--- a/modules/config/ini/SectionReader.cpp
+++ b/modules/config/ini/SectionReader.cpp
@@ -210,7 +210,7 @@
     this->errors.list.push_back({ this->section.header, std::string(key), line, std::move(message) });
 }
 
-void SectionReader::finish()
+void SectionReader::reportUnknownKeys()
 {
     std::string names;
     for (const auto& name : this->requestedKeys)
--- a/modules/config/ini/SectionReader.h
+++ b/modules/config/ini/SectionReader.h
@@ -88,7 +88,7 @@
     void report(std::string_view key, int line, std::string message);
 
     /// Reports as unknown every key of the section that no earlier call has read. Call it last.
-    void finish();
+    void reportUnknownKeys();
 
     /// Whether `text` is valid as an entity's name.
     static bool isName(std::string_view text);
--- a/modules/config/json/MemberReader.cpp
+++ b/modules/config/json/MemberReader.cpp
@@ -19,38 +19,41 @@
     return Json::Value::nullSingleton();
 }
 
-std::string MemberReader::text(const char* name)
+std::string MemberReader::string(const char* name)
 {
     return this->member(name, &Json::Value::isString, "a string").asString();
 }
 
-bool MemberReader::flag(const char* name) { return this->member(name, &Json::Value::isBool, "true or false").asBool(); }
+bool MemberReader::boolean(const char* name)
+{
+    return this->member(name, &Json::Value::isBool, "true or false").asBool();
+}
 
 int MemberReader::integer(const char* name)
 {
     return this->member(name, &Json::Value::isInt, "a whole number").asInt();
 }
 
-std::int64_t MemberReader::whole(const char* name)
+std::int64_t MemberReader::int64(const char* name)
 {
     return this->member(name, &Json::Value::isInt64, "a whole number").asInt64();
 }
 
-std::uint64_t MemberReader::count(const char* name)
+std::uint64_t MemberReader::uint64(const char* name)
 {
     return this->member(name, &Json::Value::isUInt64, "a whole number from 0").asUInt64();
 }
 
-std::vector<std::string> MemberReader::texts(const char* name)
+std::vector<std::string> MemberReader::strings(const char* name)
 {
-    std::vector<std::string> texts;
+    std::vector<std::string> strings;
     for (const auto& entry : this->list(name)) {
         if (entry.isString())
-            texts.push_back(entry.asString());
+            strings.push_back(entry.asString());
         else if (this->error.message.empty())
             this->error.message = std::string("the entries of \"") + name + "\" must be strings";
     }
-    return texts;
+    return strings;
 }
 
 const Json::Value& MemberReader::list(const char* name)
--- a/modules/config/json/MemberReader.h
+++ b/modules/config/json/MemberReader.h
@@ -16,18 +16,18 @@
     /// Both must outlive the reader.
     MemberReader(const Json::Value& object, CodecError& error);
 
-    std::string text(const char* name);
-    bool flag(const char* name);
+    std::string string(const char* name);
+    bool boolean(const char* name);
     int integer(const char* name);
-    std::int64_t whole(const char* name);
+    std::int64_t int64(const char* name);
     /// A non-negative whole number.
-    std::uint64_t count(const char* name);
-    std::vector<std::string> texts(const char* name);
+    std::uint64_t uint64(const char* name);
+    std::vector<std::string> strings(const char* name);
     /// An array; empty if the member is missing.
     const Json::Value& list(const char* name);
 
     /// Returns a reader for an object nested in this one, which sets the same error.
-    MemberReader inner(const Json::Value& object) const { return { object, this->error }; }
+    MemberReader nested(const Json::Value& object) const { return { object, this->error }; }
 
 private:
     const Json::Value& member(const char* name, bool (Json::Value::*isExpectedType)() const, const char* expectedType);
--- a/modules/config/keys/KeyGenerator.cpp
+++ b/modules/config/keys/KeyGenerator.cpp
@@ -15,7 +15,7 @@
     key.stored.owner = owner;
     key.stored.salt = randomHex(KeyGenerator::saltBytes);
     key.stored.digest = sha256Hex(key.stored.salt + secret);
-    key.shown = name.string() + "." + secret;
+    key.presentedKey = name.string() + "." + secret;
     return key;
 }
 
--- a/modules/config/merge/SectionMerge.cpp
+++ b/modules/config/merge/SectionMerge.cpp
@@ -68,9 +68,9 @@
 {
     if (base == current || mine == current)
         return { std::string(mine), {} };
-    auto baseBlocks = divideIntoBlocks(base);
-    auto mineBlocks = divideIntoBlocks(mine);
-    auto currentBlocks = divideIntoBlocks(current);
+    auto baseBlocks = splitIntoBlocks(base);
+    auto mineBlocks = splitIntoBlocks(mine);
+    auto currentBlocks = splitIntoBlocks(current);
     auto currentKeepsOrder = commonKeys(currentBlocks, baseBlocks) == commonKeys(baseBlocks, currentBlocks);
     auto order
         = currentKeepsOrder ? combineOrders(mineBlocks, currentBlocks) : combineOrders(currentBlocks, mineBlocks);
@@ -91,8 +91,8 @@
 
 std::vector<std::string> changedSections(std::string_view before, std::string_view after)
 {
-    auto beforeBlocks = divideIntoBlocks(before);
-    auto afterBlocks = divideIntoBlocks(after);
+    auto beforeBlocks = splitIntoBlocks(before);
+    auto afterBlocks = splitIntoBlocks(after);
     std::vector<std::string> headers;
     for (const auto& key : combineOrders(afterBlocks, beforeBlocks)) {
         const auto* oldBlock = findBlock(beforeBlocks, key);
--- a/modules/config/merge/TextBlocks.cpp
+++ b/modules/config/merge/TextBlocks.cpp
@@ -75,7 +75,7 @@
 
 } // namespace
 
-std::vector<TextBlock> divideIntoBlocks(std::string_view text)
+std::vector<TextBlock> splitIntoBlocks(std::string_view text)
 {
     auto lines = readLines(text);
     std::vector<TextBlock> blocks;
--- a/modules/config/merge/TextBlocks.h
+++ b/modules/config/merge/TextBlocks.h
@@ -9,7 +9,7 @@
 namespace Greengage {
 
 /// Splits the text of a document into blocks.
-std::vector<TextBlock> divideIntoBlocks(std::string_view text);
+std::vector<TextBlock> splitIntoBlocks(std::string_view text);
 
 /// Concatenates blocks, each preceded by its blank lines. Joining the unchanged blocks of a text restores the text,
 /// except that blank lines at its end are removed and a missing final newline is added.
--- a/modules/config/settings/SettingsParser.cpp
+++ b/modules/config/settings/SettingsParser.cpp
@@ -108,7 +108,7 @@
         auto section = file.sectionOrEmpty(sectionNames[index]);
         SectionReader reader(section, errors);
         readers[index](reader, settings);
-        reader.finish();
+        reader.reportUnknownKeys();
     }
     if (errors.isEmpty())
         return settings;
--- a/modules/config/tests/DocumentAcceptanceTests.cpp
+++ b/modules/config/tests/DocumentAcceptanceTests.cpp
@@ -15,7 +15,7 @@
 DocumentRecord accept(
     const DocumentRecord& current, const DocumentSubmission& submission, std::string_view baseText = {})
 {
-    auto outcome = DocumentAcceptance::judge(current, baseText, submission, 1000);
+    auto outcome = DocumentAcceptance::evaluate(current, baseText, submission, 1000);
     BOOST_REQUIRE(std::holds_alternative<AcceptedChange>(outcome));
     return std::get<AcceptedChange>(outcome).record;
 }
@@ -45,7 +45,7 @@
 {
     auto first = accept({}, { "c1", "jana", 0, team("a", 1) });
     auto second = accept(first, { "c2", "ivo", 1, team("a", 2) });
-    auto again = DocumentAcceptance::judge(second, {}, { "c1", "jana", 0, team("a", 1) }, 2000);
+    auto again = DocumentAcceptance::evaluate(second, {}, { "c1", "jana", 0, team("a", 1) }, 2000);
     BOOST_REQUIRE(std::holds_alternative<AlreadyInForce>(again));
     BOOST_TEST(std::get<AlreadyInForce>(again).revision == 1U);
 }
@@ -58,7 +58,7 @@
     auto third = accept(second, { "c3", "eva", 2, team("a", 2) + "\n" + team("b", 3) });
     DocumentSubmission late { "c4", "dan", 1, team("a", 5) + "\n" + team("b", 1) };
     BOOST_TEST(DocumentAcceptance::baseChange(third, late).value() == "c1");
-    auto outcome = DocumentAcceptance::judge(third, base, late, 1000);
+    auto outcome = DocumentAcceptance::evaluate(third, base, late, 1000);
     BOOST_REQUIRE(std::holds_alternative<SectionConflicts>(outcome));
     BOOST_REQUIRE(std::get<SectionConflicts>(outcome).list.size() == 1U);
     BOOST_TEST((std::get<SectionConflicts>(outcome).list[0] == SectionConflict { "team a", "ivo", 2 }));
@@ -73,7 +73,7 @@
     auto first = accept({}, { "c1", "jana", 0, base });
     auto second = accept(first, { "c2", "ivo", 1, team("b", 1) });
     auto key = "\n[key k]\nowner = o\nteam = a\nsalt = 0123456789abcdef\ndigest = " + std::string(64, '0') + "\n";
-    auto outcome = DocumentAcceptance::judge(second, base, { "c3", "eva", 1, base + key }, 1000);
+    auto outcome = DocumentAcceptance::evaluate(second, base, { "c3", "eva", 1, base + key }, 1000);
     BOOST_TEST(errorsOf(outcome)
         == ":9: [key k] team: after merging with revision 2, which others submitted meanwhile: there is no section "
            "[team a]; add it or use the name of an existing one\n");
@@ -88,11 +88,11 @@
     BOOST_TEST(record.changes.back().revision == 9U);
     DocumentSubmission old { "x", "jana", 8, team("a", 99) };
     BOOST_TEST(!DocumentAcceptance::baseChange(record, old).has_value());
-    BOOST_TEST(errorsOf(DocumentAcceptance::judge(record, {}, old, 0)).find("older than the changes that are kept")
+    BOOST_TEST(errorsOf(DocumentAcceptance::evaluate(record, {}, old, 0)).find("older than the changes that are kept")
         != std::string::npos);
     old.baseRevision = 41;
-    BOOST_TEST(
-        errorsOf(DocumentAcceptance::judge(record, {}, old, 0)).find("the newest revision is 40") != std::string::npos);
+    BOOST_TEST(errorsOf(DocumentAcceptance::evaluate(record, {}, old, 0)).find("the newest revision is 40")
+        != std::string::npos);
 }
 
 BOOST_AUTO_TEST_CASE(encodedRecordStaysBelowTheStoresLimit)
@@ -111,13 +111,13 @@
     }
     BOOST_TEST(record.changes.size() >= DocumentAcceptance::minChanges);
     BOOST_TEST(record.changes.size() < DocumentAcceptance::maxChanges);
-    auto outcome = DocumentAcceptance::judge(record, {}, { "big", "jana", 40, text + text }, 0);
+    auto outcome = DocumentAcceptance::evaluate(record, {}, { "big", "jana", 40, text + text }, 0);
     BOOST_TEST(errorsOf(outcome).find("shorten the document") != std::string::npos);
 }
 
 BOOST_AUTO_TEST_CASE(invalidSubmissionsAreRejected)
 {
-    auto outcome = DocumentAcceptance::judge({}, {}, { "a/b", "", 0, "x" }, 0);
+    auto outcome = DocumentAcceptance::evaluate({}, {}, { "a/b", "", 0, "x" }, 0);
     BOOST_REQUIRE(std::holds_alternative<ConfigErrors>(outcome));
     BOOST_TEST(std::get<ConfigErrors>(outcome).list.size() == 3U);
     BOOST_TEST(AdminCodec::decodeSubmission("{\"changeId\":1}").has_error());
--- a/modules/config/tests/SectionMergeTests.cpp
+++ b/modules/config/tests/SectionMergeTests.cpp
@@ -35,7 +35,7 @@
 
 BOOST_AUTO_TEST_CASE(joinedBlocksRestoreTheText)
 {
-    auto blocks = divideIntoBlocks(base);
+    auto blocks = splitIntoBlocks(base);
     BOOST_TEST(joinBlocks(blocks) == base);
     BOOST_REQUIRE(blocks.size() == 5U);
     BOOST_TEST(blocks[2].text == "; Desk in the hall.\n[team desk]\nshare = 1\n; trailing\n\nlimit = 2\n");
@@ -73,7 +73,7 @@
 {
     auto merge = SectionMerge::merge(base, base + "\n[key m]\nteam = desk\n", base + "\n[key c]\nteam = desk\n");
     BOOST_TEST(merge.conflicts.empty());
-    BOOST_TEST(divideIntoBlocks(merge.text).size() == 7U);
+    BOOST_TEST(splitIntoBlocks(merge.text).size() == 7U);
 }
 
 BOOST_AUTO_TEST_CASE(diffNamesSectionsAndKeys)
--- a/modules/daemon/admin/DocumentSubmitter.cpp
+++ b/modules/daemon/admin/DocumentSubmitter.cpp
@@ -81,7 +81,7 @@
 void DocumentSubmitter::evaluate(const std::string& baseText)
 {
     AcceptanceOutcome outcome
-        = DocumentAcceptance::judge(this->current, baseText, this->submission, unixMilliseconds());
+        = DocumentAcceptance::evaluate(this->current, baseText, this->submission, unixMilliseconds());
     if (auto* change = std::get_if<AcceptedChange>(&outcome)) {
         this->accepted = std::move(change->record);
         this->writeHistory(0);
--- a/modules/daemon/membership/MemberCodec.cpp
+++ b/modules/daemon/membership/MemberCodec.cpp
@@ -25,10 +25,10 @@
     CodecError error;
     MemberReader reader(value, error);
     MemberRecord record;
-    record.daemon = DaemonId(reader.text("daemon"));
-    record.incarnation = IncarnationId(reader.text("incarnation"));
-    record.zone = ZoneId(reader.text("zone"));
-    record.mesh.address = reader.text("address");
+    record.daemon = DaemonId(reader.string("daemon"));
+    record.incarnation = IncarnationId(reader.string("incarnation"));
+    record.zone = ZoneId(reader.string("zone"));
+    record.mesh.address = reader.string("address");
     int meshPort = reader.integer("meshPort");
     int adminPort = reader.integer("adminPort");
     if (!error.message.empty())
--- a/modules/mesh/codec/PeerStateCodec.cpp
+++ b/modules/mesh/codec/PeerStateCodec.cpp
@@ -57,7 +57,7 @@
             this->error = "the state is not an object";
     }
 
-    std::string text(const char* name)
+    std::string string(const char* name)
     {
         if (!this->has(name, [](const Json::Value& value) { return value.isString(); }))
             return {};
@@ -67,14 +67,14 @@
         return value;
     }
 
-    std::uint64_t number(const char* name)
+    std::uint64_t uint64(const char* name)
     {
         return this->has(name, [](const Json::Value& value) { return value.isUInt64(); })
             ? this->source[name].asUInt64()
             : 0;
     }
 
-    bool flag(const char* name)
+    bool boolean(const char* name)
     {
         return this->has(name, [](const Json::Value& value) { return value.isBool(); }) && this->source[name].asBool();
     }
@@ -195,14 +195,14 @@
 {
     MemberReader reader(value);
     PeerState state;
-    state.daemon = DaemonId(reader.text("daemon"));
-    state.incarnation = IncarnationId(reader.text("incarnation"));
-    state.zone = ZoneId(reader.text("zone"));
-    state.appliedRevision = reader.number("appliedRevision");
-    state.knownRevision = reader.number("knownRevision");
+    state.daemon = DaemonId(reader.string("daemon"));
+    state.incarnation = IncarnationId(reader.string("incarnation"));
+    state.zone = ZoneId(reader.string("zone"));
+    state.appliedRevision = reader.uint64("appliedRevision");
+    state.knownRevision = reader.uint64("knownRevision");
     state.confirmationAge = reader.age("confirmationAgeMs");
-    state.shuttingDown = reader.flag("shuttingDown");
-    state.appliedLedgerRevision = reader.number("appliedLedgerRevision");
+    state.shuttingDown = reader.boolean("shuttingDown");
+    state.appliedLedgerRevision = reader.uint64("appliedLedgerRevision");
     BOOST_OUTCOME_TRY(readLists(reader, state));
     if (!reader.error.empty())
         return MeshError { MeshErrorCode::Malformed, reader.error };
