--- a/modules/config/ini/SectionReader.cpp
+++ b/modules/config/ini/SectionReader.cpp
@@ -142,8 +142,8 @@
     auto number = parseNumber<int>(value->value);
     if (number && *number >= lowest && *number <= highest)
         return *number;
-    this->report(
-        key, value->line, fmt::format("{}; a whole number from {} to {}", quoteInvalid(value->value), lowest, highest));
+    this->report(key, value->line,
+        fmt::format("{}; expected a whole number from {} to {}", quoteInvalid(value->value), lowest, highest));
     return lowest;
 }
 
@@ -247,7 +247,7 @@
     const auto* entry = this->find(key);
     if (entry == nullptr) {
         if (required)
-            this->report(key, this->section.line, "missing; this section needs it");
+            this->report(key, this->section.line, "missing; this key is required in this section");
         return std::nullopt;
     }
     if (entry->lines.size() > 1) {
@@ -262,8 +262,8 @@
 {
     constexpr std::size_t maxQuotedLength = 60;
     if (value.size() > maxQuotedLength)
-        return "\"" + std::string(value.substr(0, maxQuotedLength)) + "...\" is not right";
-    return "\"" + std::string(value) + "\" is not right";
+        return "\"" + std::string(value.substr(0, maxQuotedLength)) + "...\" is not valid";
+    return "\"" + std::string(value) + "\" is not valid";
 }
 
 } // namespace Greengage
