--- a/modules/fleet/requests/dispatch/EndpointTable.h
+++ b/modules/fleet/requests/dispatch/EndpointTable.h
@@ -6,12 +6,12 @@
 
 struct EndpointsListed;
 
-/// Keeps the table of endpoints in step with the platform's list of VMs and the pools of the document.
+/// Updates the table of endpoints from the platform's list of VMs and the pools of the document.
 class EndpointTable {
 public:
     explicit EndpointTable(Tick&);
 
-    void take(const EndpointsListed&);
+    void handle(const EndpointsListed&);
     /// Assigns services to endpoints after a new document.
     void assignServices();
 
--- a/modules/fleet/requests/limits/DeadIncarnation.h
+++ b/modules/fleet/requests/limits/ExpiredIncarnation.h
@@ -8,9 +8,9 @@
 
 namespace Greengage {
 
-/// An incarnation that holds allotments and is neither listed nor heard any more.
-struct DeadIncarnation {
-    /// From then on it can start nothing, and reports of endpoints count.
+/// An incarnation that holds allotments and is neither listed nor seen any more.
+struct ExpiredIncarnation {
+    /// From this time on the incarnation can start nothing, so reports of endpoints are conclusive.
     Deadline reclaimFrom;
     std::map<VmId, EndpointReport> reports;
 };
