--- a/modules/coordinator/fleet/FleetController.h
+++ b/modules/coordinator/fleet/FleetController.h
@@ -1,14 +1,14 @@
 #pragma once
 
-#include <coordinator/fleet/MachineService.h>
+#include <coordinator/fleet/VmService.h>
 #include <coordinator/fleet/WaveRecord.h>
 #include <coordinator/leadership/Leadership.h>
 #include <coordinator/store/SharedStore.h>
 #include <core/time/UnixClock.h>
-#include <jobs/board/JobBoard.h>
-#include <jobs/model/UpkeepWave.h>
+#include <jobs/model/MaintenanceWave.h>
+#include <jobs/systems/MaintenanceSystem.h>
 #include <jobs/systems/PoolSizing.h>
-#include <jobs/systems/UpkeepSystem.h>
+#include <jobs/tables/JobTables.h>
 
 #include <algorithm>
 #include <functional>
@@ -19,12 +19,12 @@
 
 /// Sizes the pools and carries out the operators' maintenance waves while this daemon is the leader. Each VM that has
 /// gone into maintenance is stored before the next step, so that another leader continues where this one stopped.
-template <SharedStore Store, MachineService Machines> class FleetController {
+template <SharedStore Store, VmService Machines> class FleetController {
 public:
     /// Adds to a commit what the operators see of a wave: whether it is completed.
     using Publish = std::function<void(std::int64_t wave, bool isCompleted, KvCommit&)>;
 
-    FleetController(Store& store, Machines& machines, Leadership<Store>& leadership, JobBoard& tables,
+    FleetController(Store& store, Machines& machines, Leadership<Store>& leadership, JobTables& tables,
         Deadline unfencedOrdersFrom, Publish publish)
         : store(store)
         , machines(machines)
@@ -46,7 +46,7 @@
     /// Ignores all answers that arrive from now on.
     void close() { *this->alive = false; }
 
-    void tick(const std::map<std::int64_t, UpkeepWave>& waves, Instant now)
+    void tick(const std::map<std::int64_t, MaintenanceWave>& waves, Instant now)
     {
         if (this->nextListing.hasPassed(now) && !this->isListing)
             this->list(now);
@@ -120,28 +120,28 @@
                 .add("from", order.from.string())
                 .add("to", order.to.string()));
         this->machines.move(order.machine, order.to, this->leadership.currentTerm().fencingToken,
-            [this, alive = this->alive, order](MachineOutcome outcome) {
+            [this, alive = this->alive, order](VmOrderOutcome outcome) {
                 if (*alive)
                     this->handleMoveOutcome(order, outcome);
             });
     }
 
-    void handleMoveOutcome(const MoveOrder& order, MachineOutcome outcome)
+    void handleMoveOutcome(const MoveOrder& order, VmOrderOutcome outcome)
     {
         Instant now = BootClock::now();
         this->pendingOrders.erase(order.machine);
-        writeLog(outcome == MachineOutcome::Taken ? LogLevel::Info : LogLevel::Warning,
+        writeLog(outcome == VmOrderOutcome::Taken ? LogLevel::Info : LogLevel::Warning,
             LogLine("move_answered").add("machine", order.machine.string()).add("outcome", nameOf(outcome)));
-        if (outcome == MachineOutcome::Fenced) {
+        if (outcome == VmOrderOutcome::Fenced) {
             this->leadership.stepDown("a machine has seen a higher fencing token");
             return;
         }
-        if (outcome == MachineOutcome::Taken) {
+        if (outcome == VmOrderOutcome::Taken) {
             this->arrivingMachines[order.machine] = { order.to, Deadline::after(now, arrivalLimit) };
             return;
         }
         this->retryFrom[order.machine] = Deadline::after(now, retryPause);
-        if (outcome == MachineOutcome::NoAnswer)
+        if (outcome == VmOrderOutcome::NoAnswer)
             return;
         // The VM stays in its pool, so its worker accepts tasks again.
         this->arrivingMachines.erase(order.machine);
@@ -152,9 +152,9 @@
             worker->isEvacuating = false;
     }
 
-    void tickWaves(const std::map<std::int64_t, UpkeepWave>& waves, Instant now)
+    void tickWaves(const std::map<std::int64_t, MaintenanceWave>& waves, Instant now)
     {
-        const UpkeepWave* current = nullptr;
+        const MaintenanceWave* current = nullptr;
         for (const auto& [number, wave] : waves) {
             auto progress = this->progress.find(number);
             if (progress == this->progress.end()) {
@@ -241,7 +241,7 @@
             for (auto& facts : result.value()) {
                 auto arrival = this->arrivingMachines.find(facts.id);
                 bool hasArrived = arrival != this->arrivingMachines.end() && facts.pool == arrival->second.pool
-                    && facts.state == MachineState::Up && !this->pendingOrders.contains(facts.id);
+                    && facts.state == VmPhase::Up && !this->pendingOrders.contains(facts.id);
                 if (hasArrived)
                     this->arrivingMachines.erase(arrival);
                 this->fleet[facts.id] = facts;
@@ -249,10 +249,10 @@
         });
     }
 
-    void advance(const UpkeepWave& wave, Instant now)
+    void advance(const MaintenanceWave& wave, Instant now)
     {
         Progress& progress = this->progress.at(wave.number);
-        UpkeepWave current = wave;
+        MaintenanceWave current = wave;
         current.done = progress.record.done;
         bool isFinished = std::all_of(wave.machines.begin(), wave.machines.end(),
             [&](const VmId& machine) { return current.done.contains(machine) || !this->fleet.contains(machine); });
@@ -278,13 +278,13 @@
         this->possiblyDown[machine] = Deadline::never();
         writeLog(LogLevel::Info, LogLine("maintenance_ordered").add("wave", wave).add("machine", machine.string()));
         this->machines.beginUpkeep(machine, wave, this->leadership.currentTerm().fencingToken,
-            [this, alive = this->alive, wave, machine](MachineOutcome outcome) {
+            [this, alive = this->alive, wave, machine](VmOrderOutcome outcome) {
                 if (*alive)
                     this->handleMaintenanceOutcome(wave, machine, outcome);
             });
     }
 
-    void handleMaintenanceOutcome(std::int64_t wave, const VmId& machine, MachineOutcome outcome)
+    void handleMaintenanceOutcome(std::int64_t wave, const VmId& machine, VmOrderOutcome outcome)
     {
         Instant now = BootClock::now();
         this->pendingOrders.erase(machine);
@@ -293,15 +293,15 @@
                 .add("wave", wave)
                 .add("machine", machine.string())
                 .add("outcome", nameOf(outcome)));
-        bool mayHaveBegun = outcome == MachineOutcome::Taken || outcome == MachineOutcome::NoAnswer;
+        bool mayHaveBegun = outcome == VmOrderOutcome::Taken || outcome == VmOrderOutcome::NoAnswer;
         if (mayHaveBegun)
             this->possiblyDown[machine] = Deadline::after(now, orderedDownPeriod);
         else
             this->possiblyDown.erase(machine);
         this->retryFrom[machine] = Deadline::after(now, retryPause);
-        if (outcome == MachineOutcome::Fenced)
+        if (outcome == VmOrderOutcome::Fenced)
             this->leadership.stepDown("a machine has seen a higher fencing token");
-        if (outcome != MachineOutcome::Taken || !this->progress.contains(wave))
+        if (outcome != VmOrderOutcome::Taken || !this->progress.contains(wave))
             return;
         this->progress.at(wave).record.done.insert(machine);
         if (!this->isStoring && this->leadership.isLeader())
@@ -311,15 +311,15 @@
     Store& store;
     Machines& machines;
     Leadership<Store>& leadership;
-    JobBoard& tables;
-    UpkeepSystem system;
+    JobTables& tables;
+    MaintenanceSystem system;
     PoolSizing sizing;
     /// When unfenced orders of an earlier leader can no longer take effect; none are sent before.
     Deadline unfencedOrdersFrom;
     Publish publish;
     std::shared_ptr<bool> alive;
     std::map<std::int64_t, Progress> progress;
-    std::map<VmId, MachineFacts> fleet;
+    std::map<VmId, VmInfo> fleet;
     std::map<VmId, Deadline> possiblyDown;
     std::map<VmId, Deadline> retryFrom;
     std::map<VmId, Arrival> arrivingMachines;
--- a/modules/coordinator/fleet/MachineService.h
+++ b/modules/coordinator/fleet/VmService.h
@@ -2,7 +2,7 @@
 
 #include <core/errors/Result.h>
 #include <core/text/EnumNames.h>
-#include <jobs/model/MachineFacts.h>
+#include <jobs/model/VmInfo.h>
 
 #include <cstdint>
 #include <functional>
@@ -12,7 +12,7 @@
 namespace Greengage {
 
 /// The result of an order to a VM.
-enum class MachineOutcome {
+enum class VmOrderOutcome {
     /// The order is being carried out, or was carried out before.
     Taken,
     /// The VM is not up, or is shutting down.
@@ -27,24 +27,24 @@
     NoAnswer,
 };
 
-template <> struct EnumNames<MachineOutcome> {
-    static constexpr std::array<std::pair<MachineOutcome, std::string_view>, 6> table { {
-        { MachineOutcome::Taken, "taken" },
-        { MachineOutcome::Busy, "busy" },
-        { MachineOutcome::Fenced, "fenced" },
-        { MachineOutcome::Refused, "refused" },
-        { MachineOutcome::Unavailable, "unavailable" },
-        { MachineOutcome::NoAnswer, "no_answer" },
+template <> struct EnumNames<VmOrderOutcome> {
+    static constexpr std::array<std::pair<VmOrderOutcome, std::string_view>, 6> table { {
+        { VmOrderOutcome::Taken, "taken" },
+        { VmOrderOutcome::Busy, "busy" },
+        { VmOrderOutcome::Fenced, "fenced" },
+        { VmOrderOutcome::Refused, "refused" },
+        { VmOrderOutcome::Unavailable, "unavailable" },
+        { VmOrderOutcome::NoAnswer, "no_answer" },
     } };
 };
 
-using MachineListCallback = std::function<void(Result<std::vector<MachineFacts>, MachineOutcome>)>;
-using MachineOrderCallback = std::function<void(MachineOutcome)>;
+using VmListCallback = std::function<void(Result<std::vector<VmInfo>, VmOrderOutcome>)>;
+using VmOrderCallback = std::function<void(VmOrderOutcome)>;
 
 /// Lists the fleet's VMs and sends orders to them. Each call ends in exactly one callback, from the loop.
 template <typename Service>
-concept MachineService = requires(Service& service, const VmId& machine, const PoolId& pool, std::int64_t number,
-    MachineListCallback onListed, MachineOrderCallback onAnswered)
+concept VmService = requires(Service& service, const VmId& machine, const PoolId& pool, std::int64_t number,
+    VmListCallback onListed, VmOrderCallback onAnswered)
 {
     service.list(onListed);
     service.beginUpkeep(machine, number, number, onAnswered);
--- a/modules/coordinator/leadership/HolderRecord.cpp
+++ b/modules/coordinator/leadership/LeaderRecord.cpp
@@ -1,10 +1,10 @@
-#include <coordinator/leadership/HolderRecord.h>
+#include <coordinator/leadership/LeaderRecord.h>
 
 #include <jobs/codec/CompactJson.h>
 
 namespace Greengage {
 
-std::string HolderRecord::encode() const
+std::string LeaderRecord::encode() const
 {
     Json::Value value(Json::objectValue);
     value["daemon"] = this->daemon.string();
@@ -13,12 +13,12 @@
     return toCompactJson(value);
 }
 
-std::optional<HolderRecord> HolderRecord::decode(std::string_view text)
+std::optional<LeaderRecord> LeaderRecord::decode(std::string_view text)
 {
     auto value = parseJsonObject(text);
     if (!value || !(*value)["daemon"].isString() || !(*value)["incarnation"].isString() || !(*value)["epoch"].isUInt())
         return std::nullopt;
-    return HolderRecord { DaemonId((*value)["daemon"].asString()), IncarnationId((*value)["incarnation"].asString()),
+    return LeaderRecord { DaemonId((*value)["daemon"].asString()), IncarnationId((*value)["incarnation"].asString()),
         (*value)["epoch"].asUInt() };
 }
 
--- a/modules/coordinator/leadership/HolderRecord.h
+++ b/modules/coordinator/leadership/LeaderRecord.h
@@ -10,7 +10,7 @@
 namespace Greengage {
 
 /// The stored identity of the leader.
-struct HolderRecord {
+struct LeaderRecord {
     /// Empty if the last leader has resigned.
     DaemonId daemon;
     IncarnationId incarnation;
@@ -20,7 +20,7 @@
     std::string encode() const;
 
     /// Nothing if the text was not written by `encode`.
-    static std::optional<HolderRecord> decode(std::string_view text);
+    static std::optional<LeaderRecord> decode(std::string_view text);
 };
 
 } // namespace Greengage
--- a/modules/coordinator/leadership/Leadership.h
+++ b/modules/coordinator/leadership/Leadership.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <coordinator/leadership/DaemonSizes.h>
-#include <coordinator/leadership/HolderRecord.h>
+#include <coordinator/leadership/LeaderRecord.h>
 #include <coordinator/leadership/StoreKeys.h>
 #include <coordinator/store/PrefixMirror.h>
 #include <core/time/Deadline.h>
@@ -121,7 +121,7 @@
 private:
     void handOver(std::string_view reason)
     {
-        HolderRecord vacant { DaemonId(), this->self.incarnation, this->term->epoch };
+        LeaderRecord vacant { DaemonId(), this->self.incarnation, this->term->epoch };
         KvCommit commit { { this->condition() }, { { StoreKeys::leader, vacant.encode() } }, {} };
         this->addOfferRemoval(commit);
         this->stepDown(reason);
@@ -197,7 +197,7 @@
     void handleLeaderKey(const KvItem& item)
     {
         this->leaderRevision = item.isRemoved ? 0 : item.revision;
-        this->leader = item.isRemoved ? std::nullopt : HolderRecord::decode(item.value);
+        this->leader = item.isRemoved ? std::nullopt : LeaderRecord::decode(item.value);
         if (this->term && item.revision > this->term->fencingToken)
             this->stepDown("another daemon has acquired the leader key");
         // The answer to our own acquisition may have been lost.
@@ -286,7 +286,7 @@
     {
         this->isAcquiring = true;
         this->earlierOrdersExpire = Deadline::after(now, earlierValidity);
-        HolderRecord record = this->self;
+        LeaderRecord record = this->self;
         record.epoch = this->leader ? this->leader->epoch + 1 : 0;
         KvCommit commit { { { StoreKeys::leader, this->leaderRevision } },
             { { StoreKeys::leader, record.encode() }, { StoreKeys::heartbeat, this->handlers.makeHeartbeatPayload() } },
@@ -316,12 +316,12 @@
     }
 
     Store& store;
-    HolderRecord self;
+    LeaderRecord self;
     DaemonSizes<Store> sizes;
     Handlers handlers;
     PrefixMirror<Store> mirror;
     Timer timer;
-    std::optional<HolderRecord> leader;
+    std::optional<LeaderRecord> leader;
     std::int64_t leaderRevision = 0;
     std::int64_t heartbeatRevision = 0;
     std::int64_t lastToken = 0;
--- a/modules/coordinator/placing/AdviceManager.h
+++ b/modules/coordinator/placing/AdviceManager.h
@@ -16,7 +16,7 @@
 template <AdviceService Service> class AdviceManager {
 public:
     /// `onChange` is called after each answer or failure.
-    AdviceManager(Service& service, JobBoard& tables, std::function<void()> onChange)
+    AdviceManager(Service& service, JobTables& tables, std::function<void()> onChange)
         : service(service)
         , system(tables)
         , onChange(std::move(onChange))
@@ -50,7 +50,7 @@
     /// The service answers one question of a daemon at a time; a second one is queued there, so that it is never idle.
     static constexpr int maxOpenQuestions = 2;
 
-    void handleAnswer(const AdviceQuestion& question, Result<AdviceAnswer, AdviceFailure> result)
+    void handleAnswer(const AdviceRequest& question, Result<AdviceAnswer, AdviceFailure> result)
     {
         this->openQuestions -= 1;
         Instant now = BootClock::now();
--- a/modules/coordinator/placing/Coordinator.h
+++ b/modules/coordinator/placing/Coordinator.h
@@ -13,11 +13,11 @@
 #include <coordinator/store/PrefixMirror.h>
 #include <coordinator/workers/WorkerLink.h>
 #include <core/time/UnixClock.h>
-#include <jobs/board/JobBoard.h>
 #include <jobs/codec/CompactJson.h>
-#include <jobs/systems/PacingSystem.h>
 #include <jobs/systems/PlacementSystem.h>
 #include <jobs/systems/PoolLoad.h>
+#include <jobs/systems/ThrottleSystem.h>
+#include <jobs/tables/JobTables.h>
 
 #include <map>
 #include <memory>
@@ -30,7 +30,7 @@
 /// Places the tasks of all open jobs while this daemon is the leader: renews the workers' leases, applies their
 /// reports, stores the progress, and sends orders. Everything that a new leader needs is in the store and in the
 /// workers' reports.
-template <SharedStore Store, WorkerLink Link, MachineService Machines, AdviceService Advice> class Coordinator {
+template <SharedStore Store, WorkerLink Link, VmService Machines, AdviceService Advice> class Coordinator {
 public:
     Coordinator(event_base& base, Store& store, Link& link, Machines& machines, Advice& advice, DaemonId daemon,
         IncarnationId incarnation, const CoordinatorLimits& limits)
@@ -68,7 +68,7 @@
     }
 
     /// Applies a complete listing of the worker directory; workers that are not in it are no longer listed.
-    void setWorkers(const std::vector<WorkerFacts>& facts)
+    void setWorkers(const std::vector<WorkerInfo>& facts)
     {
         if (!this->session)
             return;
@@ -80,7 +80,7 @@
     }
 
     /// Applies a new or changed entry of the worker directory. An entry of an earlier incarnation is ignored.
-    void putWorker(const WorkerFacts& facts)
+    void putWorker(const WorkerInfo& facts)
     {
         if (!this->session)
             return;
@@ -115,7 +115,7 @@
     void onDirectoryWanted(std::function<void(bool)> callback) { this->onDirectoryWantedChange = std::move(callback); }
 
     /// Sets the maintenance waves that operators have ordered, by number.
-    void setWaves(std::map<std::int64_t, UpkeepWave> ordered) { this->waves = std::move(ordered); }
+    void setWaves(std::map<std::int64_t, MaintenanceWave> ordered) { this->waves = std::move(ordered); }
 
     /// Sets what adds the progress of a wave, for the operators, to a commit.
     void onWavePublished(typename FleetController<Store, Machines>::Publish callback)
@@ -172,12 +172,12 @@
         {
         }
 
-        JobBoard tables;
+        JobTables tables;
         JobLoader loader;
         PrefixMirror<Store> jobsMirror;
         ProgressWriter<Store> writer;
         PlacementSystem placement;
-        PacingSystem throttling;
+        ThrottleSystem throttling;
         AdviceManager<Advice> advice;
         WorkerRosterManager<Store> workerRoster;
         EndedJobCleaner<Store> cleaner;
@@ -212,7 +212,7 @@
     void beginSession(const Term& term)
     {
         this->session = std::make_unique<Session>(*this, term);
-        JobBoard& tables = this->session->tables;
+        JobTables& tables = this->session->tables;
         tables.policies = this->policies;
         tables.lowestRun = 1 + term.epoch * runsPerEpoch;
         tables.inheritedLeasesOver
@@ -380,7 +380,7 @@
     CoordinatorLimits limits;
     std::shared_ptr<const JobPolicies> policies = std::make_shared<JobPolicies>();
     std::unordered_map<QueueId, std::uint64_t> waitingByQueue;
-    std::map<std::int64_t, UpkeepWave> waves;
+    std::map<std::int64_t, MaintenanceWave> waves;
     std::function<void(bool)> onDirectoryWantedChange;
     typename FleetController<Store, Machines>::Publish publishWave = [](std::int64_t, bool, KvCommit&) {};
     Leadership<Store> leadership;
--- a/modules/coordinator/placing/JobLoader.cpp
+++ b/modules/coordinator/placing/JobLoader.cpp
@@ -46,7 +46,7 @@
 
 void JobLoader::addJob(const JobId& id, const KvItem& item, const JobProgress& progress, std::int64_t progressRevision)
 {
-    JobBoard& tables = this->tables;
+    JobTables& tables = this->tables;
     if (tables.jobs.contains(id) || tables.forgotten.contains(id))
         return;
     auto record = this->recordCodec.decode(item.value);
@@ -74,7 +74,7 @@
 
 void JobLoader::applyCancellation(const JobId& id)
 {
-    JobBoard& tables = this->tables;
+    JobTables& tables = this->tables;
     auto job = tables.jobs.find(id);
     if (job == tables.jobs.end() || job->second.hasEnded())
         return;
--- a/modules/coordinator/placing/JobLoader.h
+++ b/modules/coordinator/placing/JobLoader.h
@@ -5,9 +5,9 @@
 #include <core/log/Log.h>
 #include <core/log/LogLine.h>
 #include <core/time/UnixClock.h>
-#include <jobs/board/JobBoard.h>
 #include <jobs/codec/JobProgressCodec.h>
 #include <jobs/codec/JobRecordCodec.h>
+#include <jobs/tables/JobTables.h>
 
 #include <functional>
 #include <map>
@@ -20,7 +20,7 @@
 class JobLoader {
 public:
     /// `onJobAdded` is called with each job that is new in the tables.
-    JobLoader(JobBoard& tables, std::function<void(const JobRow&)> onJobAdded)
+    JobLoader(JobTables& tables, std::function<void(const JobRow&)> onJobAdded)
         : tables(tables)
         , onJobAdded(std::move(onJobAdded))
     {
@@ -39,7 +39,7 @@
     void addJob(const JobId&, const KvItem&, const JobProgress&, std::int64_t progressRevision);
     void applyCancellation(const JobId&);
 
-    JobBoard& tables;
+    JobTables& tables;
     std::function<void(const JobRow&)> onJobAdded;
     JobRecordCodec recordCodec;
     JobProgressCodec progressCodec;
--- a/modules/coordinator/placing/LeaseManager.h
+++ b/modules/coordinator/placing/LeaseManager.h
@@ -4,8 +4,8 @@
 #include <core/log/Log.h>
 #include <core/log/LogLine.h>
 #include <core/time/Deadline.h>
-#include <jobs/board/JobBoard.h>
 #include <jobs/systems/ReportSystem.h>
+#include <jobs/tables/JobTables.h>
 
 #include <algorithm>
 #include <functional>
@@ -34,7 +34,7 @@
         std::function<void()> onFenced;
     };
 
-    LeaseManager(Link& link, JobBoard& tables, std::int64_t token, Milliseconds leaseLength, Handlers handlers)
+    LeaseManager(Link& link, JobTables& tables, std::int64_t token, Milliseconds leaseLength, Handlers handlers)
         : link(link)
         , tables(tables)
         , reports(tables)
@@ -249,7 +249,7 @@
     /// Releases the attempts of unresponsive workers whose leases have certainly expired.
     void clearExpiredWorkers(Instant now)
     {
-        JobBoard& tables = this->tables;
+        JobTables& tables = this->tables;
         for (auto entry = tables.workers.begin(); entry != tables.workers.end();) {
             WorkerRow& worker = entry->second;
             bool isExpired = worker.isSuspect && worker.leaseOver.hasPassed(now)
@@ -282,7 +282,7 @@
     }
 
     Link& link;
-    JobBoard& tables;
+    JobTables& tables;
     ReportSystem reports;
     std::int64_t token;
     Milliseconds leaseLength;
--- a/modules/coordinator/placing/OrderSender.h
+++ b/modules/coordinator/placing/OrderSender.h
@@ -4,8 +4,8 @@
 #include <coordinator/workers/WorkerLink.h>
 #include <core/log/Log.h>
 #include <core/log/LogLine.h>
-#include <jobs/board/JobBoard.h>
 #include <jobs/systems/PlacementSystem.h>
+#include <jobs/tables/JobTables.h>
 
 #include <algorithm>
 #include <functional>
@@ -29,7 +29,7 @@
         std::function<void()> onFenced;
     };
 
-    OrderSender(Link& link, LeaseManager<Link>& leases, JobBoard& tables, std::int64_t token, Handlers handlers)
+    OrderSender(Link& link, LeaseManager<Link>& leases, JobTables& tables, std::int64_t token, Handlers handlers)
         : link(link)
         , leases(leases)
         , tables(tables)
@@ -111,7 +111,7 @@
 
     void start(const StartOrder& order, Instant now)
     {
-        JobBoard& tables = this->tables;
+        JobTables& tables = this->tables;
         WorkerRow& worker = tables.workers.at(order.worker);
         Attempt& attempt = worker.attempts.at(order.task);
         attempt.phase = AttemptPhase::Ordered;
@@ -145,7 +145,7 @@
 
     void handleStartOutcome(const StartOrder& order, StartOutcome outcome)
     {
-        JobBoard& tables = this->tables;
+        JobTables& tables = this->tables;
         WorkerRow* worker = tables.findWorker(order.worker);
         if (!worker)
             return;
@@ -262,7 +262,7 @@
 
     Link& link;
     LeaseManager<Link>& leases;
-    JobBoard& tables;
+    JobTables& tables;
     std::int64_t token;
     Handlers handlers;
     std::shared_ptr<bool> alive;
--- a/modules/coordinator/placing/ProgressWriter.h
+++ b/modules/coordinator/placing/ProgressWriter.h
@@ -3,8 +3,8 @@
 #include <coordinator/leadership/Leadership.h>
 #include <coordinator/placing/EndedJob.h>
 #include <core/time/UnixClock.h>
-#include <jobs/board/JobBoard.h>
 #include <jobs/codec/JobProgressCodec.h>
+#include <jobs/tables/JobTables.h>
 
 #include <deque>
 #include <functional>
@@ -19,8 +19,8 @@
 template <SharedStore Store> class ProgressWriter {
 public:
     /// `onStored` is called with each open job whose progress has been stored, `onFlushed` when a flush is complete.
-    ProgressWriter(Store& store, Leadership<Store>& leadership, JobBoard& tables, std::function<void(JobRow&)> onStored,
-        std::function<void()> onFlushed)
+    ProgressWriter(Store& store, Leadership<Store>& leadership, JobTables& tables,
+        std::function<void(JobRow&)> onStored, std::function<void()> onFlushed)
         : store(store)
         , leadership(leadership)
         , tables(tables)
@@ -205,7 +205,7 @@
 
     Store& store;
     Leadership<Store>& leadership;
-    JobBoard& tables;
+    JobTables& tables;
     std::function<void(JobRow&)> onStored;
     std::function<void()> onFlushed;
     std::shared_ptr<bool> alive;
--- a/modules/coordinator/placing/WorkerRosterManager.h
+++ b/modules/coordinator/placing/WorkerRosterManager.h
@@ -2,7 +2,7 @@
 
 #include <coordinator/leadership/Leadership.h>
 #include <coordinator/placing/WorkerRosterRecord.h>
-#include <jobs/board/JobBoard.h>
+#include <jobs/tables/JobTables.h>
 
 #include <map>
 #include <memory>
@@ -14,7 +14,7 @@
 /// stored roster, so that the next leader queries it too.
 template <SharedStore Store> class WorkerRosterManager {
 public:
-    WorkerRosterManager(Store& store, Leadership<Store>& leadership, JobBoard& tables)
+    WorkerRosterManager(Store& store, Leadership<Store>& leadership, JobTables& tables)
         : store(store)
         , leadership(leadership)
         , tables(tables)
@@ -120,7 +120,7 @@
 
     Store& store;
     Leadership<Store>& leadership;
-    JobBoard& tables;
+    JobTables& tables;
     std::shared_ptr<bool> alive;
     bool isUnderWay = false;
     bool hasLoaded = false;
--- a/modules/coordinator/placing/WorkerRosterRecord.cpp
+++ b/modules/coordinator/placing/WorkerRosterRecord.cpp
@@ -43,7 +43,7 @@
         for (const auto& row : (*value)["workers"]) {
             if (!row.isArray() || row.size() != ColumnCount)
                 return std::nullopt;
-            WorkerFacts worker;
+            WorkerInfo worker;
             worker.id = WorkerId(row[Id].asString());
             worker.pool = PoolId(row[Pool].asString());
             worker.address = row[Address].asString();
--- a/modules/coordinator/placing/WorkerRosterRecord.h
+++ b/modules/coordinator/placing/WorkerRosterRecord.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <jobs/model/WorkerFacts.h>
+#include <jobs/model/WorkerInfo.h>
 
 #include <optional>
 #include <string>
@@ -13,7 +13,7 @@
 /// workers that cannot reach the store, though they keep running.
 struct WorkerRosterRecord {
     /// Only what is needed to reach the workers: id, pool, address, port and start time.
-    std::vector<WorkerFacts> workers;
+    std::vector<WorkerInfo> workers;
 
     std::string encode() const;
 
--- a/modules/coordinator/desk/DeskOutcome.h
+++ b/modules/coordinator/service/JobRequestOutcome.h
@@ -5,7 +5,7 @@
 namespace Greengage {
 
 /// The result of a submission, a cancellation or a query.
-enum class DeskOutcome {
+enum class JobRequestOutcome {
     /// The request is stored.
     Stored,
     /// Nothing was stored, and nothing will be.
@@ -16,12 +16,12 @@
     NoSuchJob,
 };
 
-template <> struct EnumNames<DeskOutcome> {
-    static constexpr std::array<std::pair<DeskOutcome, std::string_view>, 4> table { {
-        { DeskOutcome::Stored, "stored" },
-        { DeskOutcome::NotStored, "not_stored" },
-        { DeskOutcome::Unknown, "unknown" },
-        { DeskOutcome::NoSuchJob, "no_such_job" },
+template <> struct EnumNames<JobRequestOutcome> {
+    static constexpr std::array<std::pair<JobRequestOutcome, std::string_view>, 4> table { {
+        { JobRequestOutcome::Stored, "stored" },
+        { JobRequestOutcome::NotStored, "not_stored" },
+        { JobRequestOutcome::Unknown, "unknown" },
+        { JobRequestOutcome::NoSuchJob, "no_such_job" },
     } };
 };
 
--- a/modules/coordinator/desk/JobDesk.h
+++ b/modules/coordinator/service/JobService.h
@@ -1,8 +1,8 @@
 #pragma once
 
-#include <coordinator/desk/DeskOutcome.h>
 #include <coordinator/leadership/StoreKeys.h>
 #include <coordinator/placing/EndedJob.h>
+#include <coordinator/service/JobRequestOutcome.h>
 #include <coordinator/store/SharedStore.h>
 #include <core/log/Log.h>
 #include <core/log/LogLine.h>
@@ -17,8 +17,8 @@
 namespace Greengage {
 
 /// The answer to a query for the state of a job.
-struct StateAnswer {
-    DeskOutcome outcome = DeskOutcome::Unknown;
+struct JobStateAnswer {
+    JobRequestOutcome outcome = JobRequestOutcome::Unknown;
     /// Valid only if the outcome is Stored.
     JobState state = JobState::Waiting;
 };
@@ -26,12 +26,12 @@
 /// Serves callers' submissions, cancellations and queries. It needs only the shared store, so every daemon that reaches
 /// the store can serve. A job is stored under its id before it is acknowledged, and only if the id is new, so a
 /// submission that is repeated, at any daemon, stays one job.
-template <SharedStore Store> class JobDesk {
+template <SharedStore Store> class JobService {
 public:
-    using OutcomeCallback = std::function<void(DeskOutcome)>;
-    using StateCallback = std::function<void(StateAnswer)>;
+    using OutcomeCallback = std::function<void(JobRequestOutcome)>;
+    using StateCallback = std::function<void(JobStateAnswer)>;
 
-    explicit JobDesk(Store& store)
+    explicit JobService(Store& store)
         : store(store)
     {
     }
@@ -50,11 +50,11 @@
     {
         this->store.read(StoreKeys::job(id), [this, id, deadline, callback = std::move(callback)](auto result) {
             if (!result.has_value()) {
-                callback(DeskOutcome::NotStored);
+                callback(JobRequestOutcome::NotStored);
                 return;
             }
             if (!result.value()) {
-                this->findEnd(id, [callback](StateAnswer answer) { callback(answer.outcome); });
+                this->findEnd(id, [callback](JobStateAnswer answer) { callback(answer.outcome); });
                 return;
             }
             KvCommit commit;
@@ -69,7 +69,7 @@
     {
         this->store.list(StoreKeys::job(id), [this, id, callback = std::move(callback)](auto result) {
             if (!result.has_value()) {
-                callback({ DeskOutcome::Unknown });
+                callback({ JobRequestOutcome::Unknown });
                 return;
             }
             bool isOpen = false;
@@ -83,7 +83,7 @@
                     state = JobState::Running;
             }
             if (isOpen)
-                callback({ DeskOutcome::Stored, state });
+                callback({ JobRequestOutcome::Stored, state });
             else
                 this->findEnd(id, callback);
         });
@@ -94,20 +94,20 @@
     {
         this->store.read(StoreKeys::end(id), [id, callback = std::move(callback)](auto result) {
             if (!result.has_value()) {
-                callback({ DeskOutcome::Unknown });
+                callback({ JobRequestOutcome::Unknown });
                 return;
             }
             if (!result.value()) {
-                callback({ DeskOutcome::NoSuchJob });
+                callback({ JobRequestOutcome::NoSuchJob });
                 return;
             }
             auto ended = EndedJob::decode(result.value()->value);
             if (!ended) {
                 writeLog(LogLevel::Error, LogLine("stored_end_unreadable").add("job", id.string()));
-                callback({ DeskOutcome::Unknown });
+                callback({ JobRequestOutcome::Unknown });
                 return;
             }
-            callback({ DeskOutcome::Stored, ended->state });
+            callback({ JobRequestOutcome::Stored, ended->state });
         });
     }
 
@@ -117,14 +117,14 @@
     {
         this->store.commit(commit, [this, commit, deadline, mayBeStored, callback = std::move(callback)](auto result) {
             if (result.has_value()) {
-                callback(DeskOutcome::Stored);
+                callback(JobRequestOutcome::Stored);
                 return;
             }
             bool wasRefused = result.error() == KvFailure::Refused;
             if (wasRefused && !mayBeStored)
-                callback(DeskOutcome::NotStored);
+                callback(JobRequestOutcome::NotStored);
             else if (wasRefused || deadline.hasPassed(BootClock::now()))
-                callback(DeskOutcome::Unknown);
+                callback(JobRequestOutcome::Unknown);
             else
                 this->commitUntil(commit, deadline, true, callback);
         });
--- a/modules/coordinator/tests/CoordinatorTests.cpp
+++ b/modules/coordinator/tests/CoordinatorTests.cpp
@@ -1,5 +1,5 @@
-#include <coordinator/desk/JobDesk.h>
 #include <coordinator/placing/Coordinator.h>
+#include <coordinator/service/JobService.h>
 #include <coordinator/tests/FakeAdvice.h>
 #include <coordinator/tests/FakeWorkers.h>
 #include <coordinator/tests/MemoryStore.h>
@@ -20,7 +20,7 @@
 struct FakeDaemon {
     static constexpr Milliseconds leaseLength { 4000 };
     static constexpr Milliseconds keepEndedFor { 3000 };
-    using TestCoordinator = Coordinator<MemoryStore, FakeLink, FakeMachines, FakeAdvice>;
+    using TestCoordinator = Coordinator<MemoryStore, FakeLink, FakeVms, FakeAdvice>;
 
     FakeDaemon(event_base& base, MemoryTables& tables, FakeWorkers& workers, const char* name, const char* incarnation)
         : store(base, tables)
@@ -49,11 +49,11 @@
         });
     }
 
-    static std::vector<WorkerFacts> directory()
+    static std::vector<WorkerInfo> directory()
     {
-        std::vector<WorkerFacts> workers;
+        std::vector<WorkerInfo> workers;
         for (const char* name : { "w1", "w2" }) {
-            WorkerFacts facts;
+            WorkerInfo facts;
             facts.id = WorkerId(name);
             facts.pool = PoolId("north");
             facts.capacity = { 8000, 64'000, 0 };
@@ -64,10 +64,10 @@
 
     MemoryStore store;
     FakeLink link;
-    FakeMachines machines;
+    FakeVms machines;
     FakeAdvice advice;
     TestCoordinator coordinator;
-    JobDesk<MemoryStore> desk;
+    JobService<MemoryStore> desk;
 };
 
 struct CoordinatorFixture {
@@ -111,19 +111,19 @@
         return record;
     }
 
-    DeskOutcome submit(FakeDaemon& daemon, const JobRecord& record)
+    JobRequestOutcome submit(FakeDaemon& daemon, const JobRecord& record)
     {
-        std::optional<DeskOutcome> outcome;
+        std::optional<JobRequestOutcome> outcome;
         daemon.desk.submit(record, Deadline::after(BootClock::now(), Milliseconds(500)),
-            [&outcome](DeskOutcome result) { outcome = result; });
+            [&outcome](JobRequestOutcome result) { outcome = result; });
         this->runUntil([&outcome] { return outcome.has_value(); });
         return *outcome;
     }
 
-    StateAnswer state(FakeDaemon& daemon, const std::string& id)
+    JobStateAnswer state(FakeDaemon& daemon, const std::string& id)
     {
-        std::optional<StateAnswer> answer;
-        daemon.desk.findState(JobId(id), [&answer](StateAnswer result) { answer = result; });
+        std::optional<JobStateAnswer> answer;
+        daemon.desk.findState(JobId(id), [&answer](JobStateAnswer result) { answer = result; });
         this->runUntil([&answer] { return answer.has_value(); });
         return *answer;
     }
@@ -150,13 +150,13 @@
 BOOST_AUTO_TEST_CASE(aSubmittedJobIsRunOnceAndShownAsCompleted)
 {
     this->first->coordinator.start();
-    BOOST_TEST((this->submit(*this->first, this->job("j", 4)) == DeskOutcome::Stored));
+    BOOST_TEST((this->submit(*this->first, this->job("j", 4)) == JobRequestOutcome::Stored));
     BOOST_TEST(this->runUntil([this] { return this->isCompleted("j"); }));
     BOOST_TEST(this->workers.starts == 4U);
     BOOST_TEST(this->workers.doubled.empty());
-    StateAnswer answer = this->state(*this->first, "j");
-    BOOST_TEST((answer.outcome == DeskOutcome::Stored && answer.state == JobState::Completed));
-    BOOST_TEST((this->state(*this->first, "none").outcome == DeskOutcome::NoSuchJob));
+    JobStateAnswer answer = this->state(*this->first, "j");
+    BOOST_TEST((answer.outcome == JobRequestOutcome::Stored && answer.state == JobState::Completed));
+    BOOST_TEST((this->state(*this->first, "none").outcome == JobRequestOutcome::NoSuchJob));
     // The workers may forget ends once these are stored.
     BOOST_TEST(this->runUntil([this] { return this->workers.storedAsDone.size() == 4U; }));
 }
@@ -179,10 +179,10 @@
 BOOST_AUTO_TEST_CASE(aRepeatedSubmissionStaysOneJob)
 {
     this->first->coordinator.start();
-    BOOST_TEST((this->submit(*this->first, this->job("j", 2)) == DeskOutcome::Stored));
-    BOOST_TEST((this->submit(*this->first, this->job("j", 2)) == DeskOutcome::Stored));
+    BOOST_TEST((this->submit(*this->first, this->job("j", 2)) == JobRequestOutcome::Stored));
+    BOOST_TEST((this->submit(*this->first, this->job("j", 2)) == JobRequestOutcome::Stored));
     BOOST_TEST(this->runUntil([this] { return this->isCompleted("j"); }));
-    BOOST_TEST((this->submit(*this->first, this->job("j", 2)) == DeskOutcome::Stored));
+    BOOST_TEST((this->submit(*this->first, this->job("j", 2)) == JobRequestOutcome::Stored));
     this->runFor(Milliseconds(300));
     BOOST_TEST(this->workers.starts == 2U);
 }
@@ -190,21 +190,21 @@
 BOOST_AUTO_TEST_CASE(aSubmissionWhoseAnswerWasLostIsFoundStored)
 {
     this->first->store.loseCommits = 1;
-    BOOST_TEST((this->submit(*this->first, this->job("j", 1)) == DeskOutcome::Stored));
+    BOOST_TEST((this->submit(*this->first, this->job("j", 1)) == JobRequestOutcome::Stored));
     BOOST_TEST(this->tables.commits == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(aRefusedSubmissionIsNotStored)
 {
     this->first->store.isRefusing = true;
-    BOOST_TEST((this->submit(*this->first, this->job("j", 1)) == DeskOutcome::NotStored));
+    BOOST_TEST((this->submit(*this->first, this->job("j", 1)) == JobRequestOutcome::NotStored));
     BOOST_TEST(this->tables.items.empty());
 }
 
 BOOST_AUTO_TEST_CASE(aSubmissionToAnUnresponsiveStoreIsUnknown)
 {
     this->first->store.isUnresponsive = true;
-    BOOST_TEST((this->submit(*this->first, this->job("j", 1)) == DeskOutcome::Unknown));
+    BOOST_TEST((this->submit(*this->first, this->job("j", 1)) == JobRequestOutcome::Unknown));
 }
 
 BOOST_AUTO_TEST_CASE(noTaskStartsBeforeItsPlacementIsStored)
@@ -283,7 +283,7 @@
 BOOST_AUTO_TEST_CASE(aNewLeaderRepeatsTheWaitingJobsOfTheLastHeartbeat)
 {
     KvCommit earlier;
-    earlier.puts = { { StoreKeys::leader, HolderRecord { DaemonId("first"), IncarnationId("0"), 3 }.encode() },
+    earlier.puts = { { StoreKeys::leader, LeaderRecord { DaemonId("first"), IncarnationId("0"), 3 }.encode() },
         { StoreKeys::heartbeat, "{\"waiting\":{\"quick\":5}}" } };
     this->first->store.commit(earlier, [](auto) {});
     this->first->store.listDelay = Milliseconds(50);
@@ -338,7 +338,7 @@
         this->runFor(Milliseconds(20));
         this->submit(*this->first, this->job("j" + std::to_string(round), 1));
         KvCommit leaderChange;
-        leaderChange.puts = { { StoreKeys::leader, HolderRecord { DaemonId(), IncarnationId("x"), 50 }.encode() },
+        leaderChange.puts = { { StoreKeys::leader, LeaderRecord { DaemonId(), IncarnationId("x"), 50 }.encode() },
             { StoreKeys::job(JobId("u" + std::to_string(round))),
                 JobRecordCodec().encode(this->job("u" + std::to_string(round), 1)) } };
         this->first->store.commit(leaderChange, [](auto) {});
@@ -384,10 +384,10 @@
     BOOST_REQUIRE(this->runUntil([this] { return this->first->coordinator.isLeader(); }));
     this->submit(*this->first, this->job("j", 3));
     BOOST_REQUIRE(this->runUntil([this] { return this->workers.starts == 3U; }));
-    std::optional<DeskOutcome> outcome;
+    std::optional<JobRequestOutcome> outcome;
     this->first->desk.cancel(JobId("j"), Deadline::after(BootClock::now(), Milliseconds(500)),
-        [&outcome](DeskOutcome result) { outcome = result; });
-    BOOST_TEST(this->runUntil([&outcome] { return outcome == DeskOutcome::Stored; }));
+        [&outcome](JobRequestOutcome result) { outcome = result; });
+    BOOST_TEST(this->runUntil([&outcome] { return outcome == JobRequestOutcome::Stored; }));
     BOOST_TEST(this->runUntil([this] { return this->state(*this->first, "j").state == JobState::Cancelled; }));
     BOOST_TEST(this->runUntil([this] {
         return this->workers.workers[WorkerId("w1")].running.empty()
--- a/modules/coordinator/tests/FakeAdvice.h
+++ b/modules/coordinator/tests/FakeAdvice.h
@@ -22,7 +22,7 @@
     int refuse = 0;
     std::size_t questions = 0;
 
-    void ask(const AdviceQuestion& question, AdviceCallback callback)
+    void ask(const AdviceRequest& question, AdviceCallback callback)
     {
         this->questions += 1;
         if (this->refuse > 0) {
--- a/modules/coordinator/tests/FakeWorkers.h
+++ b/modules/coordinator/tests/FakeWorkers.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <coordinator/fleet/MachineService.h>
+#include <coordinator/fleet/VmService.h>
 #include <coordinator/tests/After.h>
 #include <coordinator/workers/WorkerLink.h>
 #include <core/time/Deadline.h>
@@ -124,7 +124,7 @@
         after(this->base, Milliseconds(2), [callback = std::move(callback), isAccepted] { callback(isAccepted); });
     }
 
-    void pace(const WorkerEndpoint&, const PaceAttempt&, OrderCallback callback)
+    void pace(const WorkerEndpoint&, const ThrottleAttempt&, OrderCallback callback)
     {
         after(this->base, Milliseconds(2), [callback = std::move(callback)] { callback(true); });
     }
@@ -201,26 +201,26 @@
 };
 
 /// A stand-in for the machine service, with no VMs.
-class FakeMachines {
+class FakeVms {
 public:
-    explicit FakeMachines(event_base& base)
+    explicit FakeVms(event_base& base)
         : base(base)
     {
     }
 
-    void list(MachineListCallback callback)
+    void list(VmListCallback callback)
     {
-        after(this->base, Milliseconds(1), [callback = std::move(callback)] { callback(std::vector<MachineFacts>()); });
+        after(this->base, Milliseconds(1), [callback = std::move(callback)] { callback(std::vector<VmInfo>()); });
     }
 
-    void beginUpkeep(const VmId&, std::int64_t, std::int64_t, MachineOrderCallback callback)
+    void beginUpkeep(const VmId&, std::int64_t, std::int64_t, VmOrderCallback callback)
     {
-        after(this->base, Milliseconds(1), [callback = std::move(callback)] { callback(MachineOutcome::Taken); });
+        after(this->base, Milliseconds(1), [callback = std::move(callback)] { callback(VmOrderOutcome::Taken); });
     }
 
-    void move(const VmId&, const PoolId&, std::int64_t, MachineOrderCallback callback)
+    void move(const VmId&, const PoolId&, std::int64_t, VmOrderCallback callback)
     {
-        after(this->base, Milliseconds(1), [callback = std::move(callback)] { callback(MachineOutcome::Taken); });
+        after(this->base, Milliseconds(1), [callback = std::move(callback)] { callback(VmOrderOutcome::Taken); });
     }
 
 private:
--- a/modules/coordinator/tests/FleetTests.cpp
+++ b/modules/coordinator/tests/FleetTests.cpp
@@ -1,5 +1,5 @@
 #include <coordinator/fleet/WaveRecord.h>
-#include <coordinator/leadership/HolderRecord.h>
+#include <coordinator/leadership/LeaderRecord.h>
 #include <coordinator/placing/EndedJob.h>
 #include <coordinator/placing/WorkerRosterRecord.h>
 
@@ -17,7 +17,7 @@
     BOOST_TEST(waveAgain->isCompleted);
     BOOST_TEST(waveAgain->done.size() == 2U);
 
-    WorkerFacts facts;
+    WorkerInfo facts;
     facts.id = WorkerId("w1");
     facts.pool = PoolId("north");
     facts.address = "127.0.0.1";
@@ -28,7 +28,7 @@
     BOOST_TEST(workerRoster->workers.front().port == 7000);
     BOOST_TEST(workerRoster->workers.front().bornUnixMs == 12);
 
-    auto leader = HolderRecord::decode(HolderRecord { DaemonId("d"), IncarnationId("i"), 3 }.encode());
+    auto leader = LeaderRecord::decode(LeaderRecord { DaemonId("d"), IncarnationId("i"), 3 }.encode());
     BOOST_REQUIRE(leader.has_value());
     BOOST_TEST(leader->epoch == 3U);
 
@@ -43,7 +43,7 @@
              "{\"state\":\"odd\",\"endedMs\":1}" }) {
         BOOST_TEST(!WaveRecord::decode(text).has_value());
         BOOST_TEST(!WorkerRosterRecord::decode(text).has_value());
-        BOOST_TEST(!HolderRecord::decode(text).has_value());
+        BOOST_TEST(!LeaderRecord::decode(text).has_value());
         BOOST_TEST(!EndedJob::decode(text).has_value());
     }
 }
--- a/modules/coordinator/workers/AdviceService.h
+++ b/modules/coordinator/workers/AdviceService.h
@@ -3,7 +3,7 @@
 #include <core/errors/Result.h>
 #include <core/text/EnumNames.h>
 #include <jobs/model/AdviceAnswer.h>
-#include <jobs/model/AdviceQuestion.h>
+#include <jobs/model/AdviceRequest.h>
 
 #include <functional>
 
@@ -30,7 +30,7 @@
 
 /// Answers which workers may run a step. Each call ends in exactly one callback, from the loop.
 template <typename Service>
-concept AdviceService = requires(Service& service, const AdviceQuestion& question, AdviceCallback callback)
+concept AdviceService = requires(Service& service, const AdviceRequest& question, AdviceCallback callback)
 {
     service.ask(question, callback);
 };
--- a/modules/coordinator/workers/WorkerLink.h
+++ b/modules/coordinator/workers/WorkerLink.h
@@ -19,7 +19,7 @@
 /// Sends orders to workers. Each call ends in exactly one callback, from the loop.
 template <typename Link>
 concept WorkerLink = requires(Link& link, const WorkerEndpoint& worker, StartAttempt start, StopAttempt stop,
-    RenewLease renew, PaceAttempt pace, StartCallback onStarted, OrderCallback onAnswered, ReportCallback onReport)
+    RenewLease renew, ThrottleAttempt pace, StartCallback onStarted, OrderCallback onAnswered, ReportCallback onReport)
 {
     link.start(worker, start, onStarted);
     link.stop(worker, stop, onAnswered);
--- a/modules/coordinator/workers/WorkerOrders.h
+++ b/modules/coordinator/workers/WorkerOrders.h
@@ -29,7 +29,7 @@
 };
 
 /// An order to throttle a best-effort attempt.
-struct PaceAttempt {
+struct ThrottleAttempt {
     TaskName task;
     std::uint32_t run = 0;
     /// Share of full speed.
--- a/modules/jobs/jobs.h
+++ b/modules/jobs/jobs.h
@@ -3,10 +3,6 @@
 // Dependencies: core, jsoncpp.
 #pragma once
 
-#include <jobs/board/Attempt.h>
-#include <jobs/board/JobBoard.h>
-#include <jobs/board/JobRow.h>
-#include <jobs/board/WorkerRow.h>
 #include <jobs/codec/JobProgressCodec.h>
 #include <jobs/codec/JobRecordCodec.h>
 #include <jobs/model/JobPolicies.h>
@@ -14,10 +10,14 @@
 #include <jobs/model/JobState.h>
 #include <jobs/model/StartOutcome.h>
 #include <jobs/model/TaskName.h>
-#include <jobs/model/WorkerFacts.h>
+#include <jobs/model/WorkerInfo.h>
 #include <jobs/model/WorkerReport.h>
 #include <jobs/systems/AdviceSystem.h>
 #include <jobs/systems/JobObjective.h>
-#include <jobs/systems/PacingSystem.h>
 #include <jobs/systems/PlacementSystem.h>
 #include <jobs/systems/ReportSystem.h>
+#include <jobs/systems/ThrottleSystem.h>
+#include <jobs/tables/Attempt.h>
+#include <jobs/tables/JobRow.h>
+#include <jobs/tables/JobTables.h>
+#include <jobs/tables/WorkerRow.h>
--- a/modules/jobs/model/AdviceQuestion.h
+++ b/modules/jobs/model/AdviceRequest.h
@@ -9,7 +9,7 @@
 namespace Greengage {
 
 /// A question to the advice service: which of these workers may run the tasks of a step?
-struct AdviceQuestion {
+struct AdviceRequest {
     /// Names the step; the task index is ignored.
     TaskName step;
     std::vector<WorkerId> workers;
--- a/modules/jobs/model/UpkeepWave.h
+++ b/modules/jobs/model/MaintenanceWave.h
@@ -11,7 +11,7 @@
 namespace Greengage {
 
 /// An order of the operators to take each of a set of VMs down for maintenance.
-struct UpkeepWave {
+struct MaintenanceWave {
     std::int64_t number = 0;
     std::vector<VmId> machines;
     /// How many of these VMs may be down at a time.
--- a/modules/jobs/model/StepSpec.h
+++ b/modules/jobs/model/StepSpec.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <core/time/Instant.h>
-#include <jobs/model/Demand.h>
+#include <jobs/model/ResourceAmount.h>
 
 #include <cstdint>
 #include <string>
@@ -13,7 +13,7 @@
 struct StepSpec {
     std::uint32_t taskCount = 1;
     /// The resources that each task asks for. The processor time of a best-effort step is not counted against a worker.
-    Demand demand;
+    ResourceAmount demand;
     /// The submitter's estimate of the run time of one task; zero if there is none.
     Milliseconds estimate { 0 };
     /// Indices of the earlier steps that have to be done before this step starts.
@@ -42,7 +42,7 @@
     bool fills = false;
 
     /// The part of a worker's capacity that each task occupies.
-    Demand occupiedPerTask() const
+    ResourceAmount occupiedPerTask() const
     {
         return { this->fills ? 0 : this->demand.cpuMillis, this->demand.memoryMegabytes, this->demand.accelerators };
     }
--- a/modules/jobs/model/TeamPolicy.h
+++ b/modules/jobs/model/TeamPolicy.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <core/text/Identifier.h>
-#include <jobs/model/Demand.h>
+#include <jobs/model/ResourceAmount.h>
 
 namespace Greengage {
 
@@ -11,7 +11,7 @@
     /// Weight of the team relative to other teams when a pool is full.
     double weight = 1;
     /// Maximum that the team may have running across all pools; zero in a resource means no limit.
-    Demand maximum;
+    ResourceAmount maximum;
 };
 
 } // namespace Greengage
--- a/modules/jobs/model/WorkerFacts.h
+++ b/modules/jobs/model/WorkerInfo.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <core/text/Identifier.h>
-#include <jobs/model/Demand.h>
+#include <jobs/model/ResourceAmount.h>
 
 #include <cstdint>
 #include <string>
@@ -10,13 +10,13 @@
 namespace Greengage {
 
 /// A worker's entry in the directory of workers.
-struct WorkerFacts {
+struct WorkerInfo {
     WorkerId id;
     PoolId pool;
     std::string address;
     std::uint16_t port = 0;
     ZoneId zone;
-    Demand capacity;
+    ResourceAmount capacity;
     std::vector<std::string> labels;
     /// Empty if the worker does not report it.
     std::string rack;
--- a/modules/jobs/systems/AdviceSystem.cpp
+++ b/modules/jobs/systems/AdviceSystem.cpp
@@ -1,20 +1,20 @@
 #include <jobs/systems/AdviceSystem.h>
 
-#include <jobs/board/JobBoard.h>
 #include <jobs/systems/JobObjective.h>
 #include <jobs/systems/PlacementSystem.h>
+#include <jobs/tables/JobTables.h>
 
 #include <algorithm>
 #include <utility>
 
 namespace Greengage {
 
-std::optional<AdviceQuestion> AdviceSystem::nextQuestion(Instant now, std::int64_t nowUnixMs)
+std::optional<AdviceRequest> AdviceSystem::nextQuestion(Instant now, std::int64_t nowUnixMs)
 {
     const auto& queues = this->board.policies->queues;
     if (std::none_of(queues.begin(), queues.end(), [](const auto& entry) { return entry.second.advice.has_value(); }))
         return std::nullopt;
-    std::optional<AdviceQuestion> best;
+    std::optional<AdviceRequest> best;
     std::pair<bool, std::int64_t> bestRank;
     for (auto& [id, job] : this->board.jobs) {
         auto queue = queues.find(job.record.queue);
@@ -34,7 +34,7 @@
     return best;
 }
 
-std::optional<AdviceQuestion> AdviceSystem::requestFor(
+std::optional<AdviceRequest> AdviceSystem::requestFor(
     JobRow& job, const QueuePolicy& queue, Instant now, std::int64_t nowUnixMs)
 {
     TaskName name { job.record.id };
@@ -46,7 +46,7 @@
                 && step.advice.nextRequest.hasPassed(now) && this->board.isReady(job, occurrence, name.step, nowUnixMs);
             if (!needsRequest)
                 continue;
-            AdviceQuestion question { name, this->selectWorkers(job, queue, name, step, now) };
+            AdviceRequest question { name, this->selectWorkers(job, queue, name, step, now) };
             if (question.workers.empty())
                 continue;
             question.takes = queue.advice->decisionTime
@@ -85,7 +85,7 @@
     return name.step < steps.size() ? &steps[name.step] : nullptr;
 }
 
-void AdviceSystem::take(const AdviceQuestion& question, const AdviceAnswer& answer, Instant now)
+void AdviceSystem::take(const AdviceRequest& question, const AdviceAnswer& answer, Instant now)
 {
     StepRow* step = this->findStep(question.step);
     if (!step)
@@ -102,7 +102,7 @@
     }
 }
 
-void AdviceSystem::fail(const AdviceQuestion& question, Instant now)
+void AdviceSystem::fail(const AdviceRequest& question, Instant now)
 {
     StepRow* step = this->findStep(question.step);
     if (!step)
--- a/modules/jobs/systems/AdviceSystem.h
+++ b/modules/jobs/systems/AdviceSystem.h
@@ -2,14 +2,14 @@
 
 #include <core/time/Instant.h>
 #include <jobs/model/AdviceAnswer.h>
-#include <jobs/model/AdviceQuestion.h>
+#include <jobs/model/AdviceRequest.h>
 
 #include <cstdint>
 #include <optional>
 
 namespace Greengage {
 
-class JobBoard;
+class JobTables;
 struct JobRow;
 struct QueuePolicy;
 struct StepRow;
@@ -27,25 +27,25 @@
     /// Delay before the service is asked again for a step after a failed call.
     static constexpr Milliseconds retryDelay { 200 };
 
-    explicit AdviceSystem(JobBoard& board)
+    explicit AdviceSystem(JobTables& board)
         : board(board)
     {
     }
 
     /// Returns the most urgent question, if there is one. A request for its step counts as pending until `take` or
     /// `fail`.
-    std::optional<AdviceQuestion> nextQuestion(Instant now, std::int64_t nowUnixMs);
+    std::optional<AdviceRequest> nextQuestion(Instant now, std::int64_t nowUnixMs);
 
-    void take(const AdviceQuestion&, const AdviceAnswer&, Instant now);
-    void fail(const AdviceQuestion&, Instant now);
+    void take(const AdviceRequest&, const AdviceAnswer&, Instant now);
+    void fail(const AdviceRequest&, Instant now);
 
 private:
-    std::optional<AdviceQuestion> requestFor(JobRow&, const QueuePolicy&, Instant now, std::int64_t nowUnixMs);
+    std::optional<AdviceRequest> requestFor(JobRow&, const QueuePolicy&, Instant now, std::int64_t nowUnixMs);
     std::vector<WorkerId> selectWorkers(
         const JobRow&, const QueuePolicy&, const TaskName& step, const StepRow&, Instant now) const;
     StepRow* findStep(const TaskName&);
 
-    JobBoard& board;
+    JobTables& board;
 };
 
 } // namespace Greengage
--- a/modules/jobs/systems/JobObjective.cpp
+++ b/modules/jobs/systems/JobObjective.cpp
@@ -1,7 +1,7 @@
 #include <jobs/systems/JobObjective.h>
 
-#include <jobs/board/JobRow.h>
 #include <jobs/model/QueuePolicy.h>
+#include <jobs/tables/JobRow.h>
 
 #include <algorithm>
 #include <vector>
--- a/modules/jobs/systems/UpkeepSystem.cpp
+++ b/modules/jobs/systems/MaintenanceSystem.cpp
@@ -1,14 +1,14 @@
-#include <jobs/systems/UpkeepSystem.h>
+#include <jobs/systems/MaintenanceSystem.h>
 
-#include <jobs/board/JobBoard.h>
-#include <jobs/model/UpkeepWave.h>
+#include <jobs/model/MaintenanceWave.h>
+#include <jobs/tables/JobTables.h>
 
 #include <algorithm>
 #include <tuple>
 
 namespace Greengage {
 
-std::vector<VmId> UpkeepSystem::advance(const UpkeepWave& wave, const std::map<VmId, MachineFacts>& machines,
+std::vector<VmId> MaintenanceSystem::advance(const MaintenanceWave& wave, const std::map<VmId, VmInfo>& machines,
     const std::map<VmId, Deadline>& mayBeDown, Instant now)
 {
     struct Candidate {
@@ -22,7 +22,7 @@
     std::unordered_map<PoolId, std::size_t> unavailableInPool;
     std::vector<Candidate> candidates;
     for (const auto& [id, facts] : machines) {
-        bool isUnavailable = facts.state != MachineState::Up || mayBeDown.contains(id);
+        bool isUnavailable = facts.state != VmPhase::Up || mayBeDown.contains(id);
         poolSize[facts.pool] += 1;
         unavailableInPool[facts.pool] += isUnavailable ? 1 : 0;
     }
@@ -30,11 +30,11 @@
         auto facts = machines.find(id);
         if (facts == machines.end())
             continue;
-        if (facts->second.state == MachineState::InUpkeep || mayBeDown.contains(id)) {
+        if (facts->second.state == VmPhase::InUpkeep || mayBeDown.contains(id)) {
             down += 1;
             continue;
         }
-        if (wave.done.contains(id) || facts->second.state != MachineState::Up)
+        if (wave.done.contains(id) || facts->second.state != VmPhase::Up)
             continue;
         WorkerRow* worker = this->board.findWorker(facts->second.worker);
         bool isDraining = worker && worker->isEvacuating;
@@ -68,7 +68,7 @@
     return ready;
 }
 
-void UpkeepSystem::release()
+void MaintenanceSystem::release()
 {
     for (const auto& [id, since] : this->drainStartedAt) {
         if (auto* worker = this->board.findWorker(id))
@@ -77,7 +77,7 @@
     this->drainStartedAt.clear();
 }
 
-void UpkeepSystem::drain(WorkerRow& worker, Instant since, Instant now)
+void MaintenanceSystem::drain(WorkerRow& worker, Instant since, Instant now)
 {
     bool isOverdue = now - since >= drainTimeout;
     for (auto& [task, attempt] : worker.attempts) {
@@ -88,7 +88,7 @@
     }
 }
 
-bool UpkeepSystem::canStop(const Attempt& attempt) const
+bool MaintenanceSystem::canStop(const Attempt& attempt) const
 {
     const StepSpec* step = this->board.findStep(attempt.task);
     if (!step || !step->mayMiss)
--- a/modules/jobs/systems/UpkeepSystem.h
+++ b/modules/jobs/systems/MaintenanceSystem.h
@@ -2,7 +2,7 @@
 
 #include <core/text/Identifier.h>
 #include <core/time/Deadline.h>
-#include <jobs/model/MachineFacts.h>
+#include <jobs/model/VmInfo.h>
 
 #include <map>
 #include <unordered_map>
@@ -10,14 +10,14 @@
 
 namespace Greengage {
 
-class JobBoard;
+class JobTables;
 struct Attempt;
-struct UpkeepWave;
+struct MaintenanceWave;
 struct WorkerRow;
 
 /// Decides which VMs of a maintenance wave are drained next, and which can be taken down. Long-running tasks leave a
 /// draining VM gradually, within the number that their step may miss. Other tasks get time to end.
-class UpkeepSystem {
+class MaintenanceSystem {
 public:
     /// Tasks that have not ended this long after the start of the drain are stopped.
     static constexpr Milliseconds drainTimeout { 4000 };
@@ -25,14 +25,14 @@
     /// one.
     static constexpr std::size_t poolDivisor = 3;
 
-    explicit UpkeepSystem(JobBoard& board)
+    explicit MaintenanceSystem(JobTables& board)
         : board(board)
     {
     }
 
     /// Chooses VMs to drain, marks attempts on them to be stopped, and returns the VMs that can be taken down now.
     /// `machines` is the fleet as listed last; `mayBeDown` holds the VMs that were ordered down since.
-    std::vector<VmId> advance(const UpkeepWave&, const std::map<VmId, MachineFacts>& machines,
+    std::vector<VmId> advance(const MaintenanceWave&, const std::map<VmId, VmInfo>& machines,
         const std::map<VmId, Deadline>& mayBeDown, Instant now);
 
     /// Ends all drains, so that attempts can be placed on these VMs again.
@@ -42,7 +42,7 @@
     void drain(WorkerRow&, Instant since, Instant now);
     bool canStop(const Attempt&) const;
 
-    JobBoard& board;
+    JobTables& board;
     /// When the drain of each worker began.
     std::unordered_map<WorkerId, Instant> drainStartedAt;
 };
--- a/modules/jobs/systems/PlacementSystem.cpp
+++ b/modules/jobs/systems/PlacementSystem.cpp
@@ -1,7 +1,7 @@
 #include <jobs/systems/PlacementSystem.h>
 
-#include <jobs/board/JobBoard.h>
 #include <jobs/systems/JobObjective.h>
+#include <jobs/tables/JobTables.h>
 
 #include <algorithm>
 #include <map>
@@ -251,9 +251,9 @@
 WorkerRow* PlacementSystem::chooseFromPool(const JobRow& job, const TaskName& task, Pool& pool) const
 {
     const StepSpec& step = job.record.spec.steps[task.step];
-    Demand needed = step.occupiedPerTask();
+    ResourceAmount needed = step.occupiedPerTask();
     bool isUnplaceable = std::any_of(pool.unplaceableDemands.begin(), pool.unplaceableDemands.end(),
-        [&needed](const Demand& unplaceable) { return unplaceable.fitsIn(needed); });
+        [&needed](const ResourceAmount& unplaceable) { return unplaceable.fitsIn(needed); });
     if (isUnplaceable)
         return nullptr;
     WorkerRow* worker = this->chooseWorker(job, task, pool.workers);
@@ -318,16 +318,16 @@
         && !objective.canBeOnTime(this->tickUnixMs + extraMs);
 }
 
-bool PlacementSystem::isWithinMaximum(const JobRow& job, const Demand& demand) const
+bool PlacementSystem::isWithinMaximum(const JobRow& job, const ResourceAmount& demand) const
 {
     auto team = this->board.policies->teams.find(job.record.team);
     if (team == this->board.policies->teams.end())
         return true;
-    Demand use = demand;
+    ResourceAmount use = demand;
     if (auto found = this->board.usage.find(job.record.team); found != this->board.usage.end())
         use += found->second;
     auto isWithin = [](std::int64_t used, std::int64_t maximum) { return !maximum || used <= maximum; };
-    const Demand& maximum = team->second.maximum;
+    const ResourceAmount& maximum = team->second.maximum;
     return isWithin(use.cpuMillis, maximum.cpuMillis) && isWithin(use.memoryMegabytes, maximum.memoryMegabytes)
         && isWithin(use.accelerators, maximum.accelerators);
 }
--- a/modules/jobs/systems/PlacementSystem.h
+++ b/modules/jobs/systems/PlacementSystem.h
@@ -2,7 +2,7 @@
 
 #include <core/text/Identifier.h>
 #include <core/time/Instant.h>
-#include <jobs/model/Demand.h>
+#include <jobs/model/ResourceAmount.h>
 #include <jobs/systems/StartOrder.h>
 
 #include <cstdint>
@@ -10,7 +10,7 @@
 
 namespace Greengage {
 
-class JobBoard;
+class JobTables;
 struct JobRow;
 struct OccurrenceRow;
 struct StepRow;
@@ -31,7 +31,7 @@
     static constexpr Milliseconds maxRackWait { 1500 };
 
     /// `farSlowdown` is the factor by which the run time of a task grows on a worker that is not near its data.
-    explicit PlacementSystem(JobBoard& board, double farSlowdown = 2)
+    explicit PlacementSystem(JobTables& board, double farSlowdown = 2)
         : board(board)
         , farSlowdown(farSlowdown)
     {
@@ -54,7 +54,7 @@
     /// The workers of a pool that accept tasks, and the demands for which none of them had free capacity in this tick.
     struct Pool {
         Workers workers;
-        std::vector<Demand> unplaceableDemands;
+        std::vector<ResourceAmount> unplaceableDemands;
     };
 
     std::vector<Candidate> collectCandidates() const;
@@ -77,10 +77,10 @@
     /// Whether a task should wait for a worker near its data, because its job can still be on time, but not if the task
     /// runs elsewhere.
     bool shouldWaitForRack(const JobRow&, const TaskName&, const Workers&) const;
-    bool isWithinMaximum(const JobRow&, const Demand&) const;
+    bool isWithinMaximum(const JobRow&, const ResourceAmount&) const;
     void planAttempt(JobRow&, const TaskName&, WorkerRow&, std::uint32_t run);
 
-    JobBoard& board;
+    JobTables& board;
     std::vector<StartOrder> orders;
     /// When the current tick began, and the time of day then.
     Instant tickAt;
--- a/modules/jobs/systems/PoolLoad.cpp
+++ b/modules/jobs/systems/PoolLoad.cpp
@@ -1,6 +1,6 @@
 #include <jobs/systems/PoolLoad.h>
 
-#include <jobs/board/JobBoard.h>
+#include <jobs/tables/JobTables.h>
 
 #include <algorithm>
 
@@ -8,7 +8,7 @@
 
 namespace {
 
-void addWaiting(PoolLoad& load, const JobBoard& board, const JobRow& job, std::int64_t nowUnixMs)
+void addWaiting(PoolLoad& load, const JobTables& board, const JobRow& job, std::int64_t nowUnixMs)
 {
     for (const auto& occurrence : job.occurrences) {
         for (std::uint32_t step = 0; step < occurrence.steps.size(); ++step) {
@@ -19,9 +19,9 @@
                     = std::max(load.minimumWorkers, (spec.taskCount + spec.perWorkerLimit - 1) / spec.perWorkerLimit);
             if (!count || !board.isReady(job, occurrence, step, nowUnixMs))
                 continue;
-            const Demand& demand = spec.demand;
-            load.waiting
-                += Demand { demand.cpuMillis * count, demand.memoryMegabytes * count, demand.accelerators * count };
+            const ResourceAmount& demand = spec.demand;
+            load.waiting += ResourceAmount { demand.cpuMillis * count, demand.memoryMegabytes * count,
+                demand.accelerators * count };
             load.waitingTasks += count;
         }
     }
@@ -29,7 +29,7 @@
 
 } // namespace
 
-std::map<PoolId, PoolLoad> PoolLoad::measure(const JobBoard& board, std::int64_t nowUnixMs)
+std::map<PoolId, PoolLoad> PoolLoad::measure(const JobTables& board, std::int64_t nowUnixMs)
 {
     std::map<PoolId, PoolLoad> loads;
     for (const auto& [id, worker] : board.workers) {
--- a/modules/jobs/systems/PoolLoad.h
+++ b/modules/jobs/systems/PoolLoad.h
@@ -1,29 +1,29 @@
 #pragma once
 
 #include <core/text/Identifier.h>
-#include <jobs/model/Demand.h>
+#include <jobs/model/ResourceAmount.h>
 
 #include <cstdint>
 #include <map>
 
 namespace Greengage {
 
-class JobBoard;
+class JobTables;
 
 /// The capacity of a pool, the part of it that is occupied, and the demand of waiting tasks.
 struct PoolLoad {
     std::size_t workers = 0;
-    Demand capacity;
-    Demand occupied;
+    ResourceAmount capacity;
+    ResourceAmount occupied;
     /// The processor time that long-running tasks occupy.
     std::int64_t lastingCpuMillis = 0;
     /// The total demand of waiting tasks that are ready to start.
-    Demand waiting;
+    ResourceAmount waiting;
     std::size_t waitingTasks = 0;
     /// The largest number of workers that a step needs because of its limit of tasks per worker.
     std::uint32_t minimumWorkers = 0;
 
-    static std::map<PoolId, PoolLoad> measure(const JobBoard&, std::int64_t nowUnixMs);
+    static std::map<PoolId, PoolLoad> measure(const JobTables&, std::int64_t nowUnixMs);
 };
 
 } // namespace Greengage
--- a/modules/jobs/systems/PoolSizing.cpp
+++ b/modules/jobs/systems/PoolSizing.cpp
@@ -1,8 +1,8 @@
 #include <jobs/systems/PoolSizing.h>
 
-#include <jobs/board/JobBoard.h>
 #include <jobs/model/JobSpec.h>
 #include <jobs/systems/PoolLoad.h>
+#include <jobs/tables/JobTables.h>
 
 #include <algorithm>
 #include <cmath>
@@ -44,7 +44,7 @@
     return found == this->arrivals.end() ? 0 : found->second.cpuMillis * decayFactor(now - found->second.at);
 }
 
-std::vector<MoveOrder> PoolSizing::advance(const std::map<VmId, MachineFacts>& machines,
+std::vector<MoveOrder> PoolSizing::advance(const std::map<VmId, VmInfo>& machines,
     const std::map<PoolId, std::int64_t>& incoming, const std::set<VmId>& busy, Instant now, std::int64_t nowUnixMs)
 {
     const auto& pools = this->board.policies->pools;
@@ -53,7 +53,7 @@
         return {};
     std::vector<VmId> spare;
     for (const auto& [id, facts] : machines) {
-        if (facts.pool == sparePool->first && facts.state == MachineState::Up && !busy.contains(id))
+        if (facts.pool == sparePool->first && facts.state == VmPhase::Up && !busy.contains(id))
             spare.push_back(id);
     }
     auto needs = this->measureNeeds(machines, incoming, busy, now, nowUnixMs);
@@ -72,7 +72,7 @@
     return orders;
 }
 
-std::map<PoolId, PoolSizing::Need> PoolSizing::measureNeeds(const std::map<VmId, MachineFacts>& machines,
+std::map<PoolId, PoolSizing::Need> PoolSizing::measureNeeds(const std::map<VmId, VmInfo>& machines,
     const std::map<PoolId, std::int64_t>& incoming, const std::set<VmId>& busy, Instant now,
     std::int64_t nowUnixMs) const
 {
@@ -80,7 +80,7 @@
     std::map<PoolId, Need> needs;
     for (const auto& [id, facts] : machines) {
         auto policy = this->board.policies->pools.find(facts.pool);
-        if (policy == this->board.policies->pools.end() || policy->second.spare || facts.state != MachineState::Up)
+        if (policy == this->board.policies->pools.end() || policy->second.spare || facts.state != VmPhase::Up)
             continue;
         const WorkerRow* worker = this->board.findWorker(facts.worker);
         if (busy.contains(id) || (worker && (worker->isEvacuating || worker->facts.draining)))
@@ -116,7 +116,7 @@
     return std::max<std::int64_t>(forWork, load.minimumWorkers + 1);
 }
 
-bool PoolSizing::isIdle(const MachineFacts& machine) const
+bool PoolSizing::isIdle(const VmInfo& machine) const
 {
     const WorkerRow* worker = this->board.findWorker(machine.worker);
     return worker && worker->isReached && !worker->isSuspect && worker->attempts.empty() && worker->strays.empty();
--- a/modules/jobs/systems/PoolSizing.h
+++ b/modules/jobs/systems/PoolSizing.h
@@ -2,7 +2,7 @@
 
 #include <core/text/Identifier.h>
 #include <core/time/Instant.h>
-#include <jobs/model/MachineFacts.h>
+#include <jobs/model/VmInfo.h>
 
 #include <cstdint>
 #include <map>
@@ -12,7 +12,7 @@
 
 namespace Greengage {
 
-class JobBoard;
+class JobTables;
 struct JobSpec;
 struct PoolLoad;
 
@@ -37,7 +37,7 @@
     /// The demand of arriving work is scaled to this percentage, since it is still rising when it is measured.
     static constexpr std::int64_t arrivalMarginPercent = 115;
 
-    explicit PoolSizing(JobBoard& board)
+    explicit PoolSizing(JobTables& board)
         : board(board)
     {
     }
@@ -47,7 +47,7 @@
 
     /// Chooses the VMs to move. They are idle, and no new tasks are placed on them from then on. `incoming` counts the
     /// VMs that are on their way to each pool; VMs in `busy` are not moved.
-    std::vector<MoveOrder> advance(const std::map<VmId, MachineFacts>& machines,
+    std::vector<MoveOrder> advance(const std::map<VmId, VmInfo>& machines,
         const std::map<PoolId, std::int64_t>& incoming, const std::set<VmId>& busy, Instant now,
         std::int64_t nowUnixMs);
 
@@ -67,15 +67,14 @@
     };
 
     double arrivingCpuMillis(const PoolId&, Instant now) const;
-    std::map<PoolId, Need> measureNeeds(const std::map<VmId, MachineFacts>&,
-        const std::map<PoolId, std::int64_t>& incoming, const std::set<VmId>& busy, Instant now,
-        std::int64_t nowUnixMs) const;
+    std::map<PoolId, Need> measureNeeds(const std::map<VmId, VmInfo>&, const std::map<PoolId, std::int64_t>& incoming,
+        const std::set<VmId>& busy, Instant now, std::int64_t nowUnixMs) const;
     std::int64_t requiredMachines(const PoolId&, const PoolLoad&, std::int64_t machineCpuMillis, Instant now) const;
-    bool isIdle(const MachineFacts&) const;
+    bool isIdle(const VmInfo&) const;
     void growPools(std::map<PoolId, Need>&, std::vector<VmId>& spare, const PoolId& sparePool, std::vector<MoveOrder>&);
     void releaseIdleMachines(std::map<PoolId, Need>&, const PoolId& sparePool, Instant now, std::vector<MoveOrder>&);
 
-    JobBoard& board;
+    JobTables& board;
     std::unordered_map<PoolId, Arrivals> arrivals;
     /// When a pool last required all of its VMs.
     std::unordered_map<PoolId, Instant> lastAllNeededAt;
--- a/modules/jobs/systems/ReportSystem.cpp
+++ b/modules/jobs/systems/ReportSystem.cpp
@@ -1,7 +1,7 @@
 #include <jobs/systems/ReportSystem.h>
 
-#include <jobs/board/JobBoard.h>
 #include <jobs/model/WorkerReport.h>
+#include <jobs/tables/JobTables.h>
 
 #include <set>
 #include <utility>
--- a/modules/jobs/systems/ReportSystem.h
+++ b/modules/jobs/systems/ReportSystem.h
@@ -7,7 +7,7 @@
 
 namespace Greengage {
 
-class JobBoard;
+class JobTables;
 struct JobRow;
 struct WorkerReport;
 struct WorkerRow;
@@ -22,7 +22,7 @@
     /// How long a worker is set aside.
     static constexpr Milliseconds setAsideFor { 4000 };
 
-    explicit ReportSystem(JobBoard& board)
+    explicit ReportSystem(JobTables& board)
         : board(board)
     {
     }
@@ -39,7 +39,7 @@
     void releaseUnlisted(WorkerRow&, const WorkerReport&, Instant sentAt);
     void recordEvent(AttemptEventKind, const TaskName&, std::uint32_t run, const WorkerRow&);
 
-    JobBoard& board;
+    JobTables& board;
     std::vector<AttemptEvent> events;
 };
 
--- a/modules/jobs/systems/PacingSystem.cpp
+++ b/modules/jobs/systems/ThrottleSystem.cpp
@@ -1,20 +1,20 @@
-#include <jobs/systems/PacingSystem.h>
+#include <jobs/systems/ThrottleSystem.h>
 
-#include <jobs/board/JobBoard.h>
+#include <jobs/tables/JobTables.h>
 
 #include <algorithm>
 
 namespace Greengage {
 
-void PacingSystem::advance(Instant now)
+void ThrottleSystem::advance(Instant now)
 {
     for (auto& [id, worker] : this->board.workers) {
         if (worker.fillingCount && worker.isReached)
-            PacingSystem::updateSpeeds(worker, PacingSystem::worstLoadPercent(worker), now);
+            ThrottleSystem::updateSpeeds(worker, ThrottleSystem::worstLoadPercent(worker), now);
     }
 }
 
-int PacingSystem::worstLoadPercent(const WorkerRow& worker)
+int ThrottleSystem::worstLoadPercent(const WorkerRow& worker)
 {
     constexpr int fullTargetPercent = 100;
     std::int64_t worst = 0;
@@ -25,7 +25,7 @@
     return static_cast<int>(worst);
 }
 
-void PacingSystem::updateSpeeds(WorkerRow& worker, int worstLoadPercent, Instant now)
+void ThrottleSystem::updateSpeeds(WorkerRow& worker, int worstLoadPercent, Instant now)
 {
     constexpr int fullTargetPercent = 100;
     for (auto& [task, attempt] : worker.attempts) {
--- a/modules/jobs/systems/PacingSystem.h
+++ b/modules/jobs/systems/ThrottleSystem.h
@@ -4,14 +4,14 @@
 
 namespace Greengage {
 
-class JobBoard;
+class JobTables;
 struct WorkerRow;
 
 /// Throttles best-effort tasks that share a worker with latency-sensitive tasks. Best-effort tasks slow
 /// latency-sensitive ones down by amounts that change within seconds. Therefore they stop at once when a
 /// latency-sensitive task on their worker exceeds its target, and speed up again in steps while its response times stay
 /// well below the target.
-class PacingSystem {
+class ThrottleSystem {
 public:
     /// Above this percentage of a latency-sensitive task's target, the best-effort tasks on its worker slow down by one
     /// step.
@@ -23,7 +23,7 @@
     static constexpr Milliseconds settlingTime { 1500 };
     static constexpr int fullSpeedPercent = 100;
 
-    explicit PacingSystem(JobBoard& board)
+    explicit ThrottleSystem(JobTables& board)
         : board(board)
     {
     }
@@ -36,7 +36,7 @@
     static int worstLoadPercent(const WorkerRow&);
     static void updateSpeeds(WorkerRow&, int worstLoadPercent, Instant now);
 
-    JobBoard& board;
+    JobTables& board;
 };
 
 } // namespace Greengage
--- a/modules/jobs/board/Attempt.h
+++ b/modules/jobs/tables/Attempt.h
@@ -3,7 +3,7 @@
 #include <core/text/EnumNames.h>
 #include <core/text/Identifier.h>
 #include <core/time/Deadline.h>
-#include <jobs/model/Demand.h>
+#include <jobs/model/ResourceAmount.h>
 #include <jobs/model/TaskName.h>
 
 #include <cstdint>
@@ -43,9 +43,9 @@
     AttemptPhase phase = AttemptPhase::Planned;
     TeamId team;
     /// The part of the worker's capacity that the attempt occupies.
-    Demand occupied;
+    ResourceAmount occupied;
     /// The resources that count against the team's maximum.
-    Demand charged;
+    ResourceAmount charged;
     Instant orderedAt;
     /// The time from which the worker refuses the start order as too late.
     Deadline orderExpires;
--- a/modules/jobs/board/JobRow.h
+++ b/modules/jobs/tables/JobRow.h
@@ -1,9 +1,9 @@
 #pragma once
 
 #include <core/time/Deadline.h>
-#include <jobs/board/StepAdvice.h>
 #include <jobs/model/JobRecord.h>
 #include <jobs/model/JobState.h>
+#include <jobs/tables/StepAdvice.h>
 
 #include <cstdint>
 #include <optional>
--- a/modules/jobs/board/JobBoard.cpp
+++ b/modules/jobs/tables/JobTables.cpp
@@ -1,4 +1,4 @@
-#include <jobs/board/JobBoard.h>
+#include <jobs/tables/JobTables.h>
 
 #include <algorithm>
 #include <utility>
@@ -22,7 +22,7 @@
 
 } // namespace
 
-bool JobBoard::addJob(JobRecord record, const JobProgress& progress)
+bool JobTables::addJob(JobRecord record, const JobProgress& progress)
 {
     if (this->forgotten.contains(record.id))
         return false;
@@ -42,7 +42,7 @@
     return true;
 }
 
-void JobBoard::endJob(JobRow& job, JobState state)
+void JobTables::endJob(JobRow& job, JobState state)
 {
     if (job.hasEnded())
         return;
@@ -56,7 +56,7 @@
     });
 }
 
-void JobBoard::forgetJob(JobId id)
+void JobTables::forgetJob(JobId id)
 {
     auto found = this->jobs.find(id);
     if (found == this->jobs.end())
@@ -81,7 +81,7 @@
     this->forgotten.insert(std::move(id));
 }
 
-TaskRow* JobBoard::findTask(const TaskName& task)
+TaskRow* JobTables::findTask(const TaskName& task)
 {
     auto job = this->jobs.find(task.job);
     if (job == this->jobs.end() || task.occurrence >= job->second.occurrences.size())
@@ -92,7 +92,7 @@
     return &steps[task.step].tasks[task.index];
 }
 
-const StepSpec* JobBoard::findStep(const TaskName& task) const
+const StepSpec* JobTables::findStep(const TaskName& task) const
 {
     auto job = this->jobs.find(task.job);
     if (job == this->jobs.end() || task.step >= job->second.record.spec.steps.size())
@@ -100,19 +100,19 @@
     return &job->second.record.spec.steps[task.step];
 }
 
-WorkerRow* JobBoard::findWorker(const WorkerId& id)
+WorkerRow* JobTables::findWorker(const WorkerId& id)
 {
     auto found = this->workers.find(id);
     return found == this->workers.end() ? nullptr : &found->second;
 }
 
-const WorkerRow* JobBoard::findWorker(const WorkerId& id) const
+const WorkerRow* JobTables::findWorker(const WorkerId& id) const
 {
     auto found = this->workers.find(id);
     return found == this->workers.end() ? nullptr : &found->second;
 }
 
-bool JobBoard::isReady(
+bool JobTables::isReady(
     const JobRow& job, const OccurrenceRow& occurrence, std::uint32_t step, std::int64_t nowUnixMs) const
 {
     if (nowUnixMs < occurrence.dueUnixMs)
@@ -121,7 +121,7 @@
     return std::all_of(after.begin(), after.end(), [&](auto earlier) { return occurrence.steps[earlier].isDone(); });
 }
 
-void JobBoard::inherit(JobRow& job, const std::map<TaskName, TaskPlacement>& placements, Instant now)
+void JobTables::inherit(JobRow& job, const std::map<TaskName, TaskPlacement>& placements, Instant now)
 {
     for (const auto& [task, placement] : placements) {
         TaskRow* row = this->findTask(task);
@@ -136,7 +136,7 @@
     }
 }
 
-Attempt& JobBoard::beginAttempt(
+Attempt& JobTables::beginAttempt(
     WorkerRow& worker, JobRow& job, const TaskName& task, std::uint32_t run, AttemptPhase phase, Instant now)
 {
     const StepSpec& step = job.record.spec.steps[task.step];
@@ -167,14 +167,14 @@
     return worker.attempts[task] = attempt;
 }
 
-void JobBoard::noteStarted(JobRow& job)
+void JobTables::noteStarted(JobRow& job)
 {
     job.hasStarted = true;
     if (job.state == JobState::Waiting)
         job.state = JobState::Running;
 }
 
-void JobBoard::releaseAttempt(WorkerRow& worker, const TaskName& task)
+void JobTables::releaseAttempt(WorkerRow& worker, const TaskName& task)
 {
     auto found = worker.attempts.find(task);
     if (found == worker.attempts.end())
@@ -195,13 +195,13 @@
     worker.attempts.erase(found);
 }
 
-void JobBoard::dropTicket(const TaskName& task, const WorkerId& worker)
+void JobTables::dropTicket(const TaskName& task, const WorkerId& worker)
 {
     if (this->findTask(task))
         this->stepRow(this->jobs.at(task.job), task).advice.tickets.erase(worker);
 }
 
-void JobBoard::finishTask(JobRow& job, const TaskName& task)
+void JobTables::finishTask(JobRow& job, const TaskName& task)
 {
     TaskRow* row = this->findTask(task);
     if (!row || row->phase == TaskPhase::Done)
@@ -224,7 +224,7 @@
         this->endJob(job, JobState::Completed);
 }
 
-void JobBoard::countFailure(JobRow& job, const TaskName& task, std::uint32_t run, const WorkerId& worker)
+void JobTables::countFailure(JobRow& job, const TaskName& task, std::uint32_t run, const WorkerId& worker)
 {
     TaskRow* row = this->findTask(task);
     if (!row || row->phase == TaskPhase::Done || job.record.spec.steps[task.step].lasting)
@@ -238,9 +238,9 @@
         this->endJob(job, JobState::Failed);
 }
 
-void JobBoard::markUnrecorded(JobRow& job) { this->unrecorded.insert(job.record.id); }
+void JobTables::markUnrecorded(JobRow& job) { this->unrecorded.insert(job.record.id); }
 
-void JobBoard::clearWorker(WorkerRow& worker)
+void JobTables::clearWorker(WorkerRow& worker)
 {
     while (!worker.attempts.empty()) {
         TaskName task = worker.attempts.begin()->first;
@@ -255,7 +255,7 @@
     worker.isReached = false;
 }
 
-JobProgress JobBoard::progressOf(const JobRow& job) const
+JobProgress JobTables::progressOf(const JobRow& job) const
 {
     JobProgress progress;
     for (std::uint32_t occurrence = 0; occurrence < job.occurrences.size(); ++occurrence) {
@@ -276,7 +276,7 @@
     return progress;
 }
 
-StepRow& JobBoard::stepRow(JobRow& job, const TaskName& task)
+StepRow& JobTables::stepRow(JobRow& job, const TaskName& task)
 {
     return job.occurrences[task.occurrence].steps[task.step];
 }
--- a/modules/jobs/board/JobBoard.h
+++ b/modules/jobs/tables/JobTables.h
@@ -1,10 +1,10 @@
 #pragma once
 
 #include <core/time/Instant.h>
-#include <jobs/board/JobRow.h>
-#include <jobs/board/WorkerRow.h>
 #include <jobs/model/JobPolicies.h>
 #include <jobs/model/JobProgress.h>
+#include <jobs/tables/JobRow.h>
+#include <jobs/tables/WorkerRow.h>
 
 #include <memory>
 #include <set>
@@ -14,7 +14,7 @@
 
 /// The job tables of the leader: jobs that have not ended, workers, and the attempts of those jobs on those workers.
 /// The member functions keep the tables consistent; the systems make the decisions.
-class JobBoard {
+class JobTables {
 public:
     std::unordered_map<JobId, JobRow> jobs;
     std::unordered_map<WorkerId, WorkerRow> workers;
@@ -24,7 +24,7 @@
     /// Jobs that ended and were removed. A store listing whose answer is delayed may still contain them as open.
     std::set<JobId> forgotten;
     /// The resources that each team has in use on workers.
-    std::unordered_map<TeamId, Demand> usage;
+    std::unordered_map<TeamId, ResourceAmount> usage;
     /// Attempt numbers below this one may have been used by an earlier leader.
     std::uint32_t lowestRun = 1;
     /// Until then, a worker that has not been reached may still run attempts that an earlier leader started.
--- a/modules/jobs/board/WorkerRow.h
+++ b/modules/jobs/tables/WorkerRow.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include <core/time/Deadline.h>
-#include <jobs/board/Attempt.h>
-#include <jobs/model/WorkerFacts.h>
+#include <jobs/model/WorkerInfo.h>
+#include <jobs/tables/Attempt.h>
 
 #include <cstdint>
 #include <map>
@@ -12,7 +12,7 @@
 
 /// The state of one incarnation of a worker.
 struct WorkerRow {
-    WorkerFacts facts;
+    WorkerInfo facts;
     /// Whether the directory lists the worker.
     bool isListed = true;
     /// Whether the worker is on the stored worker roster.
@@ -20,7 +20,7 @@
     /// Whether the worker has answered under the current fencing token, so that all attempts on it are known.
     bool isReached = false;
     /// The resources that its attempts occupy in total.
-    Demand occupied;
+    ResourceAmount occupied;
     std::uint32_t fillingCount = 0;
     std::uint32_t latencySensitiveCount = 0;
     std::map<TaskName, Attempt> attempts;
--- a/modules/jobs/tests/AdviceTests.cpp
+++ b/modules/jobs/tests/AdviceTests.cpp
@@ -14,9 +14,9 @@
             = AdvicePolicy { Milliseconds(20), Milliseconds(2), Milliseconds(3000) };
     }
 
-    std::optional<AdviceQuestion> question() { return this->system.nextQuestion(this->now, this->unixMs); }
+    std::optional<AdviceRequest> question() { return this->system.nextQuestion(this->now, this->unixMs); }
 
-    void answer(const AdviceQuestion& question, std::map<WorkerId, std::string> fit)
+    void answer(const AdviceRequest& question, std::map<WorkerId, std::string> fit)
     {
         this->system.take(question, { std::move(fit), Milliseconds(3000) }, this->now);
     }
--- a/modules/jobs/tests/JobTablesFixture.h
+++ b/modules/jobs/tests/JobTablesFixture.h
@@ -35,7 +35,7 @@
         this->policies->queues[queue.id] = queue;
     }
 
-    void limitTeam(const char* team, Demand maximum)
+    void limitTeam(const char* team, ResourceAmount maximum)
     {
         this->policies->teams[TeamId(team)] = { TeamId(team), 1, maximum };
     }
@@ -129,7 +129,7 @@
     }
 
     std::shared_ptr<JobPolicies> policies = std::make_shared<JobPolicies>();
-    JobBoard board;
+    JobTables board;
     Instant now { Seconds(1000) };
     std::int64_t unixMs = startUnixMs;
 };
--- a/modules/jobs/tests/SizingTests.cpp
+++ b/modules/jobs/tests/SizingTests.cpp
@@ -1,8 +1,8 @@
 #include "JobTablesFixture.h"
 
-#include <jobs/model/UpkeepWave.h>
+#include <jobs/model/MaintenanceWave.h>
+#include <jobs/systems/MaintenanceSystem.h>
 #include <jobs/systems/PoolSizing.h>
-#include <jobs/systems/UpkeepSystem.h>
 
 #include <boost/test/unit_test.hpp>
 
@@ -13,10 +13,10 @@
 struct FleetFixture : JobTablesFixture {
     void addMachine(const std::string& id, const char* pool)
     {
-        MachineFacts facts;
+        VmInfo facts;
         facts.id = VmId(id);
         facts.pool = PoolId(pool);
-        facts.state = MachineState::Up;
+        facts.state = VmPhase::Up;
         facts.capacity = { 8000, 64'000, 0 };
         if (std::string(pool) != "spare") {
             facts.worker = WorkerId("w-" + id);
@@ -27,9 +27,9 @@
 
     std::vector<MoveOrder> planMoves() { return this->sizing.advance(this->machines, {}, {}, this->now, this->unixMs); }
 
-    std::map<VmId, MachineFacts> machines;
+    std::map<VmId, VmInfo> machines;
     PoolSizing sizing { this->board };
-    UpkeepSystem maintenance { this->board };
+    MaintenanceSystem maintenance { this->board };
 };
 
 std::size_t movesTo(const std::vector<MoveOrder>& orders, const char* pool)
@@ -116,7 +116,7 @@
 
 BOOST_AUTO_TEST_CASE(aWaveTakesDownNoMoreVmsThanItsMaximum)
 {
-    UpkeepWave wave;
+    MaintenanceWave wave;
     wave.number = 1;
     wave.maximum = 2;
     wave.dueBy = Deadline::after(this->now, Seconds(30));
@@ -134,7 +134,7 @@
 
 BOOST_AUTO_TEST_CASE(aWaveStopsNoMoreTasksThanALongRunningStepMayMiss)
 {
-    UpkeepWave wave;
+    MaintenanceWave wave;
     wave.number = 1;
     wave.maximum = 9;
     wave.dueBy = Deadline::after(this->now, Seconds(3));
--- a/modules/jobs/tests/ThrottleTests.cpp
+++ b/modules/jobs/tests/ThrottleTests.cpp
@@ -29,8 +29,8 @@
         WorkerRow& worker = this->board.workers.at(WorkerId("w1"));
         Attempt& bestEffort = worker.attempts.at(task("best-effort", 0, 0));
         worker.attempts.at(task("latency-sensitive", 0, 0)).load = tailMs;
-        this->advance(PacingSystem::settlingTime);
-        PacingSystem(this->board).advance(this->now);
+        this->advance(ThrottleSystem::settlingTime);
+        ThrottleSystem(this->board).advance(this->now);
         bestEffort.pacePercent = bestEffort.wantedPace;
         return bestEffort.wantedPace;
     }
@@ -57,7 +57,7 @@
     WorkerRow& worker = this->board.workers.at(WorkerId("w1"));
     BOOST_TEST(this->speedPercentAfter(90) == 75);
     worker.attempts.at(task("latency-sensitive", 0, 0)).load = 130;
-    PacingSystem(this->board).advance(this->now);
+    ThrottleSystem(this->board).advance(this->now);
     BOOST_TEST(worker.attempts.at(task("best-effort", 0, 0)).wantedPace == 0);
 }
 
@@ -69,8 +69,8 @@
     this->board.endJob(this->board.jobs.at(JobId("latency-sensitive")), JobState::Cancelled);
     WorkerRow& worker = this->board.workers.at(WorkerId("w1"));
     for (int tick = 0; tick < 4; ++tick) {
-        this->advance(PacingSystem::settlingTime);
-        PacingSystem(this->board).advance(this->now);
+        this->advance(ThrottleSystem::settlingTime);
+        ThrottleSystem(this->board).advance(this->now);
     }
     BOOST_TEST(worker.attempts.at(task("best-effort", 0, 0)).wantedPace == 100);
 }
