--- a/modules/coordinator/fleet/FleetController.h
+++ b/modules/coordinator/fleet/FleetController.h
@@ -19,15 +19,15 @@
 
 /// Sizes the pools and carries out the operators' maintenance waves while this daemon is the leader. Each VM that has
 /// gone into maintenance is stored before the next step, so that another leader continues where this one stopped.
-template <SharedStore Store, VmService Machines> class FleetController {
+template <SharedStore Store, VmService Vms> class FleetController {
 public:
     /// Adds to a commit what the operators see of a wave: whether it is completed.
     using Publish = std::function<void(std::int64_t wave, bool isCompleted, KvCommit&)>;
 
-    FleetController(Store& store, Machines& machines, Leadership<Store>& leadership, JobTables& tables,
+    FleetController(Store& store, Vms& vmService, Leadership<Store>& leadership, JobTables& tables,
         Deadline unfencedOrdersFrom, Publish publish)
         : store(store)
-        , machines(machines)
+        , vmService(vmService)
         , leadership(leadership)
         , tables(tables)
         , system(tables)
@@ -53,7 +53,7 @@
         if (!this->listedAt)
             return;
         std::erase_if(this->possiblyDown, [now](const auto& entry) { return entry.second.hasPassed(now); });
-        std::erase_if(this->arrivingMachines, [now](const auto& entry) { return entry.second.until.hasPassed(now); });
+        std::erase_if(this->arrivingVms, [now](const auto& entry) { return entry.second.until.hasPassed(now); });
         if (!this->leadership.maySendUnfencedOrders(now))
             return;
         // Until then, tasks that an earlier leader has ordered to stop may still be reported as running.
@@ -69,7 +69,7 @@
     /// Records a new job of a pool, from which the demand for VMs is estimated.
     void recordArrival(const PoolId& pool, const JobSpec& spec, Instant now)
     {
-        this->sizing.noteArrival(pool, spec, now);
+        this->sizing.recordArrival(pool, spec, now);
     }
 
 private:
@@ -96,15 +96,15 @@
     {
         std::map<PoolId, std::int64_t> incoming;
         std::set<VmId> busy(this->pendingOrders.begin(), this->pendingOrders.end());
-        for (const auto& [machine, arrival] : this->arrivingMachines) {
+        for (const auto& [vm, arrival] : this->arrivingVms) {
             incoming[arrival.pool] += 1;
-            busy.insert(machine);
+            busy.insert(vm);
         }
-        for (const auto& [machine, until] : this->possiblyDown)
-            busy.insert(machine);
-        for (const auto& [machine, until] : this->retryFrom) {
+        for (const auto& [vm, until] : this->possiblyDown)
+            busy.insert(vm);
+        for (const auto& [vm, until] : this->retryFrom) {
             if (!until.hasPassed(now))
-                busy.insert(machine);
+                busy.insert(vm);
         }
         for (const auto& order : this->sizing.advance(this->fleet, incoming, busy, now, unixMilliseconds()))
             this->move(order, now);
@@ -112,14 +112,14 @@
 
     void move(const MoveOrder& order, Instant now)
     {
-        this->pendingOrders.insert(order.machine);
-        this->arrivingMachines[order.machine] = { order.to, Deadline::after(now, arrivalLimit) };
+        this->pendingOrders.insert(order.vm);
+        this->arrivingVms[order.vm] = { order.to, Deadline::after(now, arrivalLimit) };
         writeLog(LogLevel::Info,
             LogLine("move_ordered")
-                .add("machine", order.machine.string())
+                .add("machine", order.vm.string())
                 .add("from", order.from.string())
                 .add("to", order.to.string()));
-        this->machines.move(order.machine, order.to, this->leadership.currentTerm().fencingToken,
+        this->vmService.move(order.vm, order.to, this->leadership.currentTerm().fencingToken,
             [this, alive = this->alive, order](VmOrderOutcome outcome) {
                 if (*alive)
                     this->handleMoveOutcome(order, outcome);
@@ -129,27 +129,27 @@
     void handleMoveOutcome(const MoveOrder& order, VmOrderOutcome outcome)
     {
         Instant now = BootClock::now();
-        this->pendingOrders.erase(order.machine);
-        writeLog(outcome == VmOrderOutcome::Taken ? LogLevel::Info : LogLevel::Warning,
-            LogLine("move_answered").add("machine", order.machine.string()).add("outcome", nameOf(outcome)));
+        this->pendingOrders.erase(order.vm);
+        writeLog(outcome == VmOrderOutcome::Accepted ? LogLevel::Info : LogLevel::Warning,
+            LogLine("move_answered").add("machine", order.vm.string()).add("outcome", nameOf(outcome)));
         if (outcome == VmOrderOutcome::Fenced) {
             this->leadership.stepDown("a machine has seen a higher fencing token");
             return;
         }
-        if (outcome == VmOrderOutcome::Taken) {
-            this->arrivingMachines[order.machine] = { order.to, Deadline::after(now, arrivalLimit) };
+        if (outcome == VmOrderOutcome::Accepted) {
+            this->arrivingVms[order.vm] = { order.to, Deadline::after(now, arrivalLimit) };
             return;
         }
-        this->retryFrom[order.machine] = Deadline::after(now, retryPause);
+        this->retryFrom[order.vm] = Deadline::after(now, retryPause);
         if (outcome == VmOrderOutcome::NoAnswer)
             return;
         // The VM stays in its pool, so its worker accepts tasks again.
-        this->arrivingMachines.erase(order.machine);
-        auto facts = this->fleet.find(order.machine);
-        if (facts == this->fleet.end())
+        this->arrivingVms.erase(order.vm);
+        auto info = this->fleet.find(order.vm);
+        if (info == this->fleet.end())
             return;
-        if (auto* worker = this->tables.findWorker(facts->second.worker))
-            worker->isEvacuating = false;
+        if (auto* worker = this->tables.findWorker(info->second.worker))
+            worker->isDrainOrdered = false;
     }
 
     void tickWaves(const std::map<std::int64_t, MaintenanceWave>& waves, Instant now)
@@ -168,7 +168,7 @@
         }
         if (!current) {
             if (this->isDraining)
-                this->system.release();
+                this->system.endDrains();
             this->isDraining = false;
         } else if (!this->isStoring)
             this->advance(*current, now);
@@ -228,7 +228,7 @@
     {
         this->isListing = true;
         this->nextListing = Deadline::after(now, listingPeriod);
-        this->machines.list([this, alive = this->alive, now](auto result) {
+        this->vmService.list([this, alive = this->alive, now](auto result) {
             if (!*alive)
                 return;
             this->isListing = false;
@@ -238,13 +238,13 @@
             }
             this->listedAt = now;
             this->fleet.clear();
-            for (auto& facts : result.value()) {
-                auto arrival = this->arrivingMachines.find(facts.id);
-                bool hasArrived = arrival != this->arrivingMachines.end() && facts.pool == arrival->second.pool
-                    && facts.state == VmPhase::Up && !this->pendingOrders.contains(facts.id);
+            for (auto& info : result.value()) {
+                auto arrival = this->arrivingVms.find(info.id);
+                bool hasArrived = arrival != this->arrivingVms.end() && info.pool == arrival->second.pool
+                    && info.state == VmPhase::Up && !this->pendingOrders.contains(info.id);
                 if (hasArrived)
-                    this->arrivingMachines.erase(arrival);
-                this->fleet[facts.id] = facts;
+                    this->arrivingVms.erase(arrival);
+                this->fleet[info.id] = info;
             }
         });
     }
@@ -254,62 +254,62 @@
         Progress& progress = this->progress.at(wave.number);
         MaintenanceWave current = wave;
         current.done = progress.record.done;
-        bool isFinished = std::all_of(wave.machines.begin(), wave.machines.end(),
-            [&](const VmId& machine) { return current.done.contains(machine) || !this->fleet.contains(machine); });
+        bool isFinished = std::all_of(wave.vms.begin(), wave.vms.end(),
+            [&](const VmId& vm) { return current.done.contains(vm) || !this->fleet.contains(vm); });
         if (isFinished) {
             writeLog(LogLevel::Info, LogLine("wave_completed").add("wave", wave.number));
             progress.record.isCompleted = true;
-            this->system.release();
+            this->system.endDrains();
             this->save(wave.number);
             return;
         }
         this->isDraining = true;
-        for (const auto& machine : this->system.advance(current, this->fleet, this->possiblyDown, now)) {
-            if (!this->pendingOrders.contains(machine) && !this->arrivingMachines.contains(machine)
-                && (!this->retryFrom.contains(machine) || this->retryFrom.at(machine).hasPassed(now)))
-                this->orderMaintenance(wave.number, machine);
+        for (const auto& vm : this->system.advance(current, this->fleet, this->possiblyDown, now)) {
+            if (!this->pendingOrders.contains(vm) && !this->arrivingVms.contains(vm)
+                && (!this->retryFrom.contains(vm) || this->retryFrom.at(vm).hasPassed(now)))
+                this->orderMaintenance(wave.number, vm);
         }
     }
 
-    void orderMaintenance(std::int64_t wave, const VmId& machine)
+    void orderMaintenance(std::int64_t wave, const VmId& vm)
     {
-        this->pendingOrders.insert(machine);
+        this->pendingOrders.insert(vm);
         // Counts as down from now on, since the answer may be lost.
-        this->possiblyDown[machine] = Deadline::never();
-        writeLog(LogLevel::Info, LogLine("maintenance_ordered").add("wave", wave).add("machine", machine.string()));
-        this->machines.beginUpkeep(machine, wave, this->leadership.currentTerm().fencingToken,
-            [this, alive = this->alive, wave, machine](VmOrderOutcome outcome) {
+        this->possiblyDown[vm] = Deadline::never();
+        writeLog(LogLevel::Info, LogLine("maintenance_ordered").add("wave", wave).add("machine", vm.string()));
+        this->vmService.beginMaintenance(vm, wave, this->leadership.currentTerm().fencingToken,
+            [this, alive = this->alive, wave, vm](VmOrderOutcome outcome) {
                 if (*alive)
-                    this->handleMaintenanceOutcome(wave, machine, outcome);
+                    this->handleMaintenanceOutcome(wave, vm, outcome);
             });
     }
 
-    void handleMaintenanceOutcome(std::int64_t wave, const VmId& machine, VmOrderOutcome outcome)
+    void handleMaintenanceOutcome(std::int64_t wave, const VmId& vm, VmOrderOutcome outcome)
     {
         Instant now = BootClock::now();
-        this->pendingOrders.erase(machine);
+        this->pendingOrders.erase(vm);
         writeLog(LogLevel::Info,
             LogLine("maintenance_answered")
                 .add("wave", wave)
-                .add("machine", machine.string())
+                .add("machine", vm.string())
                 .add("outcome", nameOf(outcome)));
-        bool mayHaveBegun = outcome == VmOrderOutcome::Taken || outcome == VmOrderOutcome::NoAnswer;
+        bool mayHaveBegun = outcome == VmOrderOutcome::Accepted || outcome == VmOrderOutcome::NoAnswer;
         if (mayHaveBegun)
-            this->possiblyDown[machine] = Deadline::after(now, orderedDownPeriod);
+            this->possiblyDown[vm] = Deadline::after(now, orderedDownPeriod);
         else
-            this->possiblyDown.erase(machine);
-        this->retryFrom[machine] = Deadline::after(now, retryPause);
+            this->possiblyDown.erase(vm);
+        this->retryFrom[vm] = Deadline::after(now, retryPause);
         if (outcome == VmOrderOutcome::Fenced)
             this->leadership.stepDown("a machine has seen a higher fencing token");
-        if (outcome != VmOrderOutcome::Taken || !this->progress.contains(wave))
+        if (outcome != VmOrderOutcome::Accepted || !this->progress.contains(wave))
             return;
-        this->progress.at(wave).record.done.insert(machine);
+        this->progress.at(wave).record.done.insert(vm);
         if (!this->isStoring && this->leadership.isLeader())
             this->save(wave);
     }
 
     Store& store;
-    Machines& machines;
+    Vms& vmService;
     Leadership<Store>& leadership;
     JobTables& tables;
     MaintenanceSystem system;
@@ -322,7 +322,7 @@
     std::map<VmId, VmInfo> fleet;
     std::map<VmId, Deadline> possiblyDown;
     std::map<VmId, Deadline> retryFrom;
-    std::map<VmId, Arrival> arrivingMachines;
+    std::map<VmId, Arrival> arrivingVms;
     std::set<VmId> pendingOrders;
     Deadline nextSizing;
     Deadline nextListing;
--- a/modules/coordinator/fleet/VmService.h
+++ b/modules/coordinator/fleet/VmService.h
@@ -14,7 +14,7 @@
 /// The result of an order to a VM.
 enum class VmOrderOutcome {
     /// The order is being carried out, or was carried out before.
-    Taken,
+    Accepted,
     /// The VM is not up, or is shutting down.
     Busy,
     /// The VM has had orders under a higher fencing token.
@@ -29,7 +29,7 @@
 
 template <> struct EnumNames<VmOrderOutcome> {
     static constexpr std::array<std::pair<VmOrderOutcome, std::string_view>, 6> table { {
-        { VmOrderOutcome::Taken, "taken" },
+        { VmOrderOutcome::Accepted, "accepted" },
         { VmOrderOutcome::Busy, "busy" },
         { VmOrderOutcome::Fenced, "fenced" },
         { VmOrderOutcome::Refused, "refused" },
@@ -43,12 +43,12 @@
 
 /// Lists the fleet's VMs and sends orders to them. Each call ends in exactly one callback, from the loop.
 template <typename Service>
-concept VmService = requires(Service& service, const VmId& machine, const PoolId& pool, std::int64_t number,
+concept VmService = requires(Service& service, const VmId& vm, const PoolId& pool, std::int64_t number,
     VmListCallback onListed, VmOrderCallback onAnswered)
 {
     service.list(onListed);
-    service.beginUpkeep(machine, number, number, onAnswered);
-    service.move(machine, pool, number, onAnswered);
+    service.beginMaintenance(vm, number, number, onAnswered);
+    service.move(vm, pool, number, onAnswered);
 };
 
 } // namespace Greengage
--- a/modules/coordinator/fleet/WaveRecord.cpp
+++ b/modules/coordinator/fleet/WaveRecord.cpp
@@ -9,8 +9,8 @@
     Json::Value value(Json::objectValue);
     value["completed"] = this->isCompleted;
     value["done"] = Json::Value(Json::arrayValue);
-    for (const auto& machine : this->done)
-        value["done"].append(machine.string());
+    for (const auto& vm : this->done)
+        value["done"].append(vm.string());
     return toCompactJson(value);
 }
 
@@ -21,10 +21,10 @@
         return std::nullopt;
     WaveRecord record;
     record.isCompleted = (*value)["completed"].asBool();
-    for (const auto& machine : (*value)["done"]) {
-        if (!machine.isString())
+    for (const auto& vm : (*value)["done"]) {
+        if (!vm.isString())
             return std::nullopt;
-        record.done.insert(VmId(machine.asString()));
+        record.done.insert(VmId(vm.asString()));
     }
     return record;
 }
--- a/modules/coordinator/placing/AdviceManager.h
+++ b/modules/coordinator/placing/AdviceManager.h
@@ -12,7 +12,7 @@
 
 namespace Greengage {
 
-/// Sends the questions of the advice system to the advice service, a few at a time, and applies the answers.
+/// Sends the requests of the advice system to the advice service, a few at a time, and applies the answers.
 template <AdviceService Service> class AdviceManager {
 public:
     /// `onChange` is called after each answer or failure.
@@ -34,39 +34,39 @@
 
     void tick(Instant now)
     {
-        while (this->openQuestions < maxOpenQuestions) {
-            auto question = this->system.nextQuestion(now, unixMilliseconds());
-            if (!question)
+        while (this->openRequests < maxOpenRequests) {
+            auto request = this->system.nextRequest(now, unixMilliseconds());
+            if (!request)
                 return;
-            this->openQuestions += 1;
-            this->service.ask(*question, [this, alive = this->alive, question = *question](auto result) {
+            this->openRequests += 1;
+            this->service.ask(*request, [this, alive = this->alive, request = *request](auto result) {
                 if (*alive)
-                    this->handleAnswer(question, std::move(result));
+                    this->handleAnswer(request, std::move(result));
             });
         }
     }
 
 private:
-    /// The service answers one question of a daemon at a time; a second one is queued there, so that it is never idle.
-    static constexpr int maxOpenQuestions = 2;
+    /// The service answers one request of a daemon at a time; a second one is queued there, so that it is never idle.
+    static constexpr int maxOpenRequests = 2;
 
-    void handleAnswer(const AdviceRequest& question, Result<AdviceAnswer, AdviceFailure> result)
+    void handleAnswer(const AdviceRequest& request, Result<AdviceAnswer, AdviceFailure> result)
     {
-        this->openQuestions -= 1;
+        this->openRequests -= 1;
         Instant now = BootClock::now();
         if (result.has_value()) {
-            this->system.take(question, result.value(), now);
+            this->system.handleAnswer(request, result.value(), now);
             writeLog(LogLevel::Info,
                 LogLine("advice_received")
-                    .add("step", question.step.text())
-                    .add("asked", question.workers.size())
-                    .add("fit", result.value().fit.size()));
+                    .add("step", request.step.text())
+                    .add("asked", request.workers.size())
+                    .add("fit", result.value().tickets.size()));
         } else {
-            this->system.fail(question, now);
+            this->system.handleFailure(request, now);
             writeLog(LogLevel::Warning,
                 LogLine("advice_failed")
-                    .add("step", question.step.text())
-                    .add("asked", question.workers.size())
+                    .add("step", request.step.text())
+                    .add("asked", request.workers.size())
                     .add("reason", nameOf(result.error())));
         }
         this->onChange();
@@ -76,7 +76,7 @@
     AdviceSystem system;
     std::function<void()> onChange;
     std::shared_ptr<bool> alive;
-    int openQuestions = 0;
+    int openRequests = 0;
 };
 
 } // namespace Greengage
--- a/modules/coordinator/placing/Coordinator.h
+++ b/modules/coordinator/placing/Coordinator.h
@@ -30,14 +30,14 @@
 /// Places the tasks of all open jobs while this daemon is the leader: renews the workers' leases, applies their
 /// reports, stores the progress, and sends orders. Everything that a new leader needs is in the store and in the
 /// workers' reports.
-template <SharedStore Store, WorkerLink Link, VmService Machines, AdviceService Advice> class Coordinator {
+template <SharedStore Store, WorkerLink Link, VmService Vms, AdviceService Advice> class Coordinator {
 public:
-    Coordinator(event_base& base, Store& store, Link& link, Machines& machines, Advice& advice, DaemonId daemon,
+    Coordinator(event_base& base, Store& store, Link& link, Vms& vmService, Advice& advice, DaemonId daemon,
         IncarnationId incarnation, const CoordinatorLimits& limits)
         : base(base)
         , store(store)
         , link(link)
-        , machines(machines)
+        , vmService(vmService)
         , advice(advice)
         , limits(limits)
         , leadership(base, store, std::move(daemon), std::move(incarnation), limits.cpuMillis,
@@ -68,40 +68,40 @@
     }
 
     /// Applies a complete listing of the worker directory; workers that are not in it are no longer listed.
-    void setWorkers(const std::vector<WorkerInfo>& facts)
+    void setWorkers(const std::vector<WorkerInfo>& listed)
     {
         if (!this->session)
             return;
         for (auto& [id, worker] : this->session->tables.workers)
             worker.isListed = false;
-        for (const auto& worker : facts)
-            this->putWorker(worker);
+        for (const auto& worker : listed)
+            this->updateWorker(worker);
         this->session->areWorkersListed = true;
     }
 
     /// Applies a new or changed entry of the worker directory. An entry of an earlier incarnation is ignored.
-    void putWorker(const WorkerInfo& facts)
+    void updateWorker(const WorkerInfo& info)
     {
         if (!this->session)
             return;
-        auto [entry, isNew] = this->session->tables.workers.try_emplace(facts.id);
+        auto [entry, isNew] = this->session->tables.workers.try_emplace(info.id);
         WorkerRow& worker = entry->second;
         if (isNew)
             writeLog(LogLevel::Info,
-                LogLine("worker_listed").add("worker", facts.id.string()).add("pool", facts.pool.string()));
-        else if (facts.bornUnixMs > worker.facts.bornUnixMs)
+                LogLine("worker_listed").add("worker", info.id.string()).add("pool", info.pool.string()));
+        else if (info.incarnationUnixMs > worker.info.incarnationUnixMs)
             this->session->leases.handleRestart(worker);
-        else if (facts.bornUnixMs < worker.facts.bornUnixMs)
+        else if (info.incarnationUnixMs < worker.info.incarnationUnixMs)
             return;
-        if (facts.draining && !worker.facts.draining)
-            writeLog(LogLevel::Info, LogLine("worker_draining").add("worker", facts.id.string()));
-        worker.facts = facts;
+        if (info.draining && !worker.info.draining)
+            writeLog(LogLevel::Info, LogLine("worker_draining").add("worker", info.id.string()));
+        worker.info = info;
         worker.isListed = true;
         this->scheduleTick();
     }
 
     /// Applies the removal of an entry of the worker directory.
-    void dropWorker(const WorkerId& id)
+    void removeWorker(const WorkerId& id)
     {
         if (!this->session)
             return;
@@ -111,14 +111,18 @@
         }
     }
 
-    /// Sets what is called with true when the worker directory is needed, and with false when it no longer is.
-    void onDirectoryWanted(std::function<void(bool)> callback) { this->onDirectoryWantedChange = std::move(callback); }
+    /// Sets what is called with true when the worker directory has to be watched, and with false when it no longer has
+    /// to be.
+    void onWorkerWatchNeeded(std::function<void(bool)> callback)
+    {
+        this->onWorkerWatchNeededChange = std::move(callback);
+    }
 
     /// Sets the maintenance waves that operators have ordered, by number.
     void setWaves(std::map<std::int64_t, MaintenanceWave> ordered) { this->waves = std::move(ordered); }
 
     /// Sets what adds the progress of a wave, for the operators, to a commit.
-    void onWavePublished(typename FleetController<Store, Machines>::Publish callback)
+    void onWavePublished(typename FleetController<Store, Vms>::Publish callback)
     {
         this->publishWave = std::move(callback);
     }
@@ -160,10 +164,10 @@
             , throttling(tables)
             , advice(owner.advice, tables, [&owner] { owner.scheduleTick(); })
             , workerRoster(owner.store, owner.leadership, tables)
-            , cleaner(owner.store, owner.leadership, owner.limits.keepEndedFor, BootClock::now())
-            , fleet(owner.store, owner.machines, owner.leadership, tables,
+            , cleaner(owner.store, owner.leadership, owner.limits.endedJobRetention, BootClock::now())
+            , fleet(owner.store, owner.vmService, owner.leadership, tables,
                   Deadline::after(BootClock::now(), owner.limits.unfencedOrderDelay), owner.publishWave)
-            , leases(owner.link, tables, term.fencingToken, owner.limits.leaseLength,
+            , leases(owner.link, tables, term.fencingToken, owner.limits.leaseDuration,
                   { [this] { return this->isComplete(); }, [&owner] { owner.scheduleTick(); },
                       [&owner] { owner.handleFenced(); } })
             , orders(owner.link, leases, tables, term.fencingToken,
@@ -181,7 +185,7 @@
         AdviceManager<Advice> advice;
         WorkerRosterManager<Store> workerRoster;
         EndedJobCleaner<Store> cleaner;
-        FleetController<Store, Machines> fleet;
+        FleetController<Store, Vms> fleet;
         LeaseManager<Link> leases;
         OrderSender<Link> orders;
         bool areWorkersListed = false;
@@ -215,11 +219,11 @@
         JobTables& tables = this->session->tables;
         tables.policies = this->policies;
         tables.lowestRun = 1 + term.epoch * runsPerEpoch;
-        tables.inheritedLeasesOver
-            = Deadline(term.earlierOrdersExpire.at() + LeaseManager<Link>::longestLease(this->limits.leaseLength));
+        tables.inheritedLeasesExpire
+            = Deadline(term.earlierOrdersExpire.at() + LeaseManager<Link>::longestLease(this->limits.leaseDuration));
         this->session->jobsMirror.start();
-        if (this->onDirectoryWantedChange)
-            this->onDirectoryWantedChange(true);
+        if (this->onWorkerWatchNeededChange)
+            this->onWorkerWatchNeededChange(true);
         this->timer.schedule(Microseconds(0));
     }
 
@@ -249,8 +253,8 @@
         this->session->close();
         // The session may be on the stack of its own callbacks, so it is destroyed from the loop.
         this->retired.push_back(std::move(this->session));
-        if (this->onDirectoryWantedChange)
-            this->onDirectoryWantedChange(false);
+        if (this->onWorkerWatchNeededChange)
+            this->onWorkerWatchNeededChange(false);
         this->timer.schedule(Microseconds(0));
     }
 
@@ -293,7 +297,7 @@
             this->session->workerRoster.tick();
             this->session->cleaner.tick(now);
             if (this->session->isComplete()) {
-                this->session->loader.inheritPlacements(now);
+                this->session->loader.restorePlacements(now);
                 this->session->fleet.tick(this->waves, now);
                 this->placeTasks(now);
                 this->session->advice.tick(now);
@@ -331,7 +335,7 @@
                     .add("workers", load.workers)
                     .add("cpu", load.capacity.cpuMillis)
                     .add("occupied", load.occupied.cpuMillis)
-                    .add("lasting", load.lastingCpuMillis)
+                    .add("lasting", load.longRunningCpuMillis)
                     .add("waiting", load.waiting.cpuMillis)
                     .add("waiting_tasks", load.waitingTasks));
         }
@@ -375,14 +379,14 @@
     event_base& base;
     Store& store;
     Link& link;
-    Machines& machines;
+    Vms& vmService;
     Advice& advice;
     CoordinatorLimits limits;
     std::shared_ptr<const JobPolicies> policies = std::make_shared<JobPolicies>();
     std::unordered_map<QueueId, std::uint64_t> waitingByQueue;
     std::map<std::int64_t, MaintenanceWave> waves;
-    std::function<void(bool)> onDirectoryWantedChange;
-    typename FleetController<Store, Machines>::Publish publishWave = [](std::int64_t, bool, KvCommit&) {};
+    std::function<void(bool)> onWorkerWatchNeededChange;
+    typename FleetController<Store, Vms>::Publish publishWave = [](std::int64_t, bool, KvCommit&) {};
     Leadership<Store> leadership;
     std::unique_ptr<Session> session;
     std::vector<std::unique_ptr<Session>> retired;
--- a/modules/coordinator/placing/EndedJobCleaner.h
+++ b/modules/coordinator/placing/EndedJobCleaner.h
@@ -15,11 +15,11 @@
     /// The longest period between listings of the ended jobs. A listing takes several calls.
     static constexpr Milliseconds maxPeriod { 30'000 };
 
-    EndedJobCleaner(Store& store, Leadership<Store>& leadership, Milliseconds keepFor, Instant now)
+    EndedJobCleaner(Store& store, Leadership<Store>& leadership, Milliseconds retention, Instant now)
         : store(store)
         , leadership(leadership)
-        , keepFor(keepFor)
-        , period(std::min(keepFor, maxPeriod))
+        , retention(retention)
+        , period(std::min(retention, maxPeriod))
         , nextListing(Deadline::after(now, this->period))
         , alive(std::make_shared<bool>(true))
     {
@@ -47,7 +47,7 @@
 private:
     void removeOld(const KvListing& listing)
     {
-        std::int64_t oldest = unixMilliseconds() - this->keepFor.count();
+        std::int64_t oldest = unixMilliseconds() - this->retention.count();
         KvCommit commit { { this->leadership.condition() }, {}, {} };
         for (const auto& item : listing.items) {
             auto ended = EndedJob::decode(item.value);
@@ -69,7 +69,7 @@
 
     Store& store;
     Leadership<Store>& leadership;
-    Milliseconds keepFor;
+    Milliseconds retention;
     Milliseconds period;
     Deadline nextListing;
     std::shared_ptr<bool> alive;
--- a/modules/coordinator/placing/JobLoader.cpp
+++ b/modules/coordinator/placing/JobLoader.cpp
@@ -47,7 +47,7 @@
 void JobLoader::addJob(const JobId& id, const KvItem& item, const JobProgress& progress, std::int64_t progressRevision)
 {
     JobTables& tables = this->tables;
-    if (tables.jobs.contains(id) || tables.forgotten.contains(id))
+    if (tables.jobs.contains(id) || tables.removedJobs.contains(id))
         return;
     auto record = this->recordCodec.decode(item.value);
     if (!record || record->id != id) {
@@ -83,11 +83,11 @@
     tables.endJob(job->second, JobState::Cancelled);
 }
 
-void JobLoader::inheritPlacements(Instant now)
+void JobLoader::restorePlacements(Instant now)
 {
     for (const auto& [id, placements] : this->inherited) {
         if (auto job = this->tables.jobs.find(id); job != this->tables.jobs.end())
-            this->tables.inherit(job->second, placements, now);
+            this->tables.restorePlacements(job->second, placements, now);
     }
     this->inherited.clear();
 }
--- a/modules/coordinator/placing/JobLoader.h
+++ b/modules/coordinator/placing/JobLoader.h
@@ -33,7 +33,7 @@
     void handleListing(const KvListing&);
 
     /// Binds tasks that an earlier leader placed to their workers. To be called once the workers are known.
-    void inheritPlacements(Instant now);
+    void restorePlacements(Instant now);
 
 private:
     void addJob(const JobId&, const KvItem&, const JobProgress&, std::int64_t progressRevision);
--- a/modules/coordinator/placing/LeaseManager.h
+++ b/modules/coordinator/placing/LeaseManager.h
@@ -34,12 +34,12 @@
         std::function<void()> onFenced;
     };
 
-    LeaseManager(Link& link, JobTables& tables, std::int64_t token, Milliseconds leaseLength, Handlers handlers)
+    LeaseManager(Link& link, JobTables& tables, std::int64_t token, Milliseconds leaseDuration, Handlers handlers)
         : link(link)
         , tables(tables)
         , reports(tables)
         , token(token)
-        , leaseLength(leaseLength)
+        , leaseDuration(leaseDuration)
         , handlers(std::move(handlers))
         , alive(std::make_shared<bool>(true))
     {
@@ -70,14 +70,14 @@
     void handleRestart(WorkerRow& worker)
     {
         writeLog(LogLevel::Warning,
-            LogLine("worker_restarted").add("worker", worker.facts.id.string()).add("lost", worker.attempts.size()));
+            LogLine("worker_restarted").add("worker", worker.info.id.string()).add("lost", worker.attempts.size()));
         this->tables.clearWorker(worker);
-        worker.leaseOver = Deadline();
+        worker.leaseExpires = Deadline();
     }
 
     WorkerEndpoint endpointOf(const WorkerRow& worker) const
     {
-        return { worker.facts.id, worker.facts.address, worker.facts.port };
+        return { worker.info.id, worker.info.address, worker.info.port };
     }
 
     /// The worker's clock now in milliseconds, extrapolated from its latest report.
@@ -90,21 +90,21 @@
     void extendLease(WorkerRow& worker, Instant now, Milliseconds length)
     {
         auto expiry = Deadline::after(now, LeaseManager::longestLease(length));
-        worker.leaseOver = std::max(worker.leaseOver, expiry);
+        worker.leaseExpires = std::max(worker.leaseExpires, expiry);
     }
 
     /// Asks a worker for an immediate report, besides the renewal that waits for an end.
     void probe(WorkerRow& worker, Instant now)
     {
-        Renewal& renewal = this->renewals[worker.facts.id];
+        Renewal& renewal = this->renewals[worker.info.id];
         if (renewal.isProbing)
             return;
         renewal.isProbing = true;
         RenewLease order;
         order.fencingToken = this->token;
-        order.recordedEnds = worker.endsRecorded;
+        order.storedEnds = worker.storedEnds;
         this->link.renew(
-            this->endpointOf(worker), order, [this, alive = this->alive, id = worker.facts.id, now](auto result) {
+            this->endpointOf(worker), order, [this, alive = this->alive, id = worker.info.id, now](auto result) {
                 if (!*alive)
                     return;
                 this->renewals[id].isProbing = false;
@@ -115,8 +115,8 @@
                     row->isSuspect = true;
                     return;
                 }
-                bool isSameIncarnation
-                    = !result.value().bornUnixMs || result.value().bornUnixMs == row->facts.bornUnixMs;
+                bool isSameIncarnation = !result.value().incarnationUnixMs
+                    || result.value().incarnationUnixMs == row->info.incarnationUnixMs;
                 if (!isSameIncarnation || !row->isReached)
                     return;
                 this->logEvents(this->reports.apply(*row, result.value(), now, BootClock::now()));
@@ -148,10 +148,10 @@
     {
         for (auto& [id, worker] : this->tables.workers) {
             Renewal& renewal = this->renewals[id];
-            bool hasUnrecorded = worker.endsRecorded < worker.endsSeen;
+            bool hasUnstoredEnds = worker.storedEnds < worker.appliedEnds;
             if (renewal.isUnderWay || (!renewal.next.hasPassed(now)))
                 continue;
-            if (hasUnrecorded && now - worker.lastReport < longestRecordWait)
+            if (hasUnstoredEnds && now - worker.lastReport < longestRecordWait)
                 continue;
             this->renew(worker, renewal, now);
         }
@@ -161,16 +161,16 @@
     {
         RenewLease order;
         order.fencingToken = this->token;
-        order.recordedEnds = worker.endsRecorded;
+        order.storedEnds = worker.storedEnds;
         // The lease of an unresponsive worker is not extended, so that its attempts are released in bounded time.
         if (worker.isReached && !worker.isSuspect) {
-            order.leaseUntilClockMs = this->clockOf(worker, now) + this->leaseLength.count();
-            this->extendLease(worker, now, this->leaseLength);
-            order.wait = std::min(longestRenewalWait, this->leaseLength / renewalsPerLease);
+            order.leaseUntilClockMs = this->clockOf(worker, now) + this->leaseDuration.count();
+            this->extendLease(worker, now, this->leaseDuration);
+            order.wait = std::min(longestRenewalWait, this->leaseDuration / renewalsPerLease);
         }
         renewal.isUnderWay = true;
         this->link.renew(
-            this->endpointOf(worker), order, [this, alive = this->alive, id = worker.facts.id, now](auto result) {
+            this->endpointOf(worker), order, [this, alive = this->alive, id = worker.info.id, now](auto result) {
                 if (*alive)
                     this->handleReport(id, now, std::move(result));
             });
@@ -208,12 +208,13 @@
             return;
         }
         const WorkerReport& report = result.value();
-        if (report.bornUnixMs && worker->facts.bornUnixMs && report.bornUnixMs < worker->facts.bornUnixMs)
+        if (report.incarnationUnixMs && worker->info.incarnationUnixMs
+            && report.incarnationUnixMs < worker->info.incarnationUnixMs)
             return;
-        if (report.bornUnixMs > worker->facts.bornUnixMs) {
-            if (worker->facts.bornUnixMs)
+        if (report.incarnationUnixMs > worker->info.incarnationUnixMs) {
+            if (worker->info.incarnationUnixMs)
                 this->handleRestart(*worker);
-            worker->facts.bornUnixMs = report.bornUnixMs;
+            worker->info.incarnationUnixMs = report.incarnationUnixMs;
         }
         if (renewal.failures)
             writeLog(LogLevel::Info, LogLine("lease_renewal_recovered").add("worker", id.string()));
@@ -229,7 +230,7 @@
         if (!renewal.failures)
             writeLog(LogLevel::Warning,
                 LogLine("lease_renewal_failed")
-                    .add("worker", worker.facts.id.string())
+                    .add("worker", worker.info.id.string())
                     .add("reason", nameOf(failure))
                     .add("attempts", worker.attempts.size()));
         // The first failures may be lost answers, and the lease is about to expire.
@@ -242,7 +243,7 @@
         worker.isSuspect = true;
         if (failure == WorkerFailure::Fenced)
             this->handlers.onFenced();
-        else if (failure == WorkerFailure::OtherLife)
+        else if (failure == WorkerFailure::OtherIncarnation)
             this->handleRestart(worker);
     }
 
@@ -252,12 +253,12 @@
         JobTables& tables = this->tables;
         for (auto entry = tables.workers.begin(); entry != tables.workers.end();) {
             WorkerRow& worker = entry->second;
-            bool isExpired = worker.isSuspect && worker.leaseOver.hasPassed(now)
-                && (worker.isReached || tables.inheritedLeasesOver.hasPassed(now));
-            if (isExpired && !(worker.attempts.empty() && worker.strays.empty())) {
+            bool isExpired = worker.isSuspect && worker.leaseExpires.hasPassed(now)
+                && (worker.isReached || tables.inheritedLeasesExpire.hasPassed(now));
+            if (isExpired && !(worker.attempts.empty() && worker.orphans.empty())) {
                 writeLog(LogLevel::Warning,
                     LogLine("worker_lease_expired")
-                        .add("worker", worker.facts.id.string())
+                        .add("worker", worker.info.id.string())
                         .add("lost", worker.attempts.size()));
                 tables.clearWorker(worker);
             }
@@ -285,7 +286,7 @@
     JobTables& tables;
     ReportSystem reports;
     std::int64_t token;
-    Milliseconds leaseLength;
+    Milliseconds leaseDuration;
     Handlers handlers;
     std::unordered_map<WorkerId, Renewal> renewals;
     std::shared_ptr<bool> alive;
--- a/modules/coordinator/placing/OrderSender.h
+++ b/modules/coordinator/placing/OrderSender.h
@@ -59,7 +59,7 @@
         this->tables.forEachAttempt(job, [&](WorkerRow& worker, const Attempt& attempt) {
             if (attempt.phase != AttemptPhase::Recording)
                 return;
-            orders.push_back({ worker.facts.id, attempt.task, attempt.run });
+            orders.push_back({ worker.info.id, attempt.task, attempt.run });
             if (job.record.spec.steps[attempt.task.step].gang && !this->maySend(worker, now))
                 brokenGangs.emplace(attempt.task.occurrence, attempt.task.step);
         });
@@ -78,7 +78,7 @@
         for (auto& [id, worker] : this->tables.workers) {
             for (auto& [task, attempt] : worker.attempts)
                 this->orderStop(worker, attempt, now);
-            for (auto& [key, orphan] : worker.strays)
+            for (auto& [key, orphan] : worker.orphans)
                 this->orderStop(worker, orphan, now);
         }
     }
@@ -87,11 +87,12 @@
     void orderThrottles()
     {
         for (auto& [id, worker] : this->tables.workers) {
-            if (!worker.fillingCount)
+            if (!worker.bestEffortCount)
                 continue;
             for (auto& [task, attempt] : worker.attempts) {
-                bool needsChange = attempt.phase == AttemptPhase::Running && attempt.wantedPace != attempt.pacePercent;
-                if (attempt.fills && needsChange && !attempt.paceUnderWay)
+                bool needsChange
+                    = attempt.phase == AttemptPhase::Running && attempt.wantedSpeedPercent != attempt.speedPercent;
+                if (attempt.isBestEffort && needsChange && !attempt.isSpeedOrderPending)
                     this->orderThrottle(worker, attempt);
             }
         }
@@ -106,7 +107,7 @@
 
     bool maySend(const WorkerRow& worker, Instant now) const
     {
-        return this->handlers.mayAct(now) && PlacementSystem::takesWork(worker, now);
+        return this->handlers.mayAct(now) && PlacementSystem::acceptsTasks(worker, now);
     }
 
     void start(const StartOrder& order, Instant now)
@@ -115,7 +116,7 @@
         WorkerRow& worker = tables.workers.at(order.worker);
         Attempt& attempt = worker.attempts.at(order.task);
         attempt.phase = AttemptPhase::Ordered;
-        tables.noteStarted(tables.jobs.at(order.task.job));
+        tables.recordStart(tables.jobs.at(order.task.job));
         attempt.orderedAt = now;
         attempt.confirmedAt = now;
         constexpr auto validFor = PlacementSystem::orderValidFor;
@@ -170,7 +171,7 @@
         if (outcome == StartOutcome::NoAnswer) {
             if (attempt.phase == AttemptPhase::Ordered)
                 attempt.phase = AttemptPhase::Unanswered;
-            worker->setAsideUntil = std::max(worker->setAsideUntil, Deadline::after(now, refusalPause));
+            worker->quarantinedUntil = std::max(worker->quarantinedUntil, Deadline::after(now, refusalPause));
             this->leases.probe(*worker, now);
             return;
         }
@@ -183,7 +184,7 @@
         if (outcome == StartOutcome::NoTicket)
             tables.dropTicket(order.task, order.worker);
         if (isRefusedByWorker)
-            worker->setAsideUntil = std::max(worker->setAsideUntil, Deadline::after(now, refusalPause));
+            worker->quarantinedUntil = std::max(worker->quarantinedUntil, Deadline::after(now, refusalPause));
         if (outcome == StartOutcome::NotSent)
             worker->isSuspect = true;
         tables.releaseAttempt(*worker, order.task);
@@ -192,17 +193,18 @@
 
     void orderStop(WorkerRow& worker, Attempt& attempt, Instant now)
     {
-        if (attempt.phase != AttemptPhase::Stopping || attempt.stopUnderWay || !attempt.nextStop.hasPassed(now))
+        if (attempt.phase != AttemptPhase::Stopping || attempt.isStopOrderPending
+            || !attempt.nextStopOrder.hasPassed(now))
             return;
-        attempt.stopUnderWay = true;
-        attempt.nextStop = Deadline::after(now, stopRetry);
+        attempt.isStopOrderPending = true;
+        attempt.nextStopOrder = Deadline::after(now, stopRetry);
         writeLog(LogLevel::Info,
             LogLine("task_stop")
                 .add("task", attempt.task.text())
                 .add("run", attempt.run)
-                .add("worker", worker.facts.id.string()));
+                .add("worker", worker.info.id.string()));
         this->link.stop(this->leases.endpointOf(worker), { attempt.task, attempt.run, this->token },
-            [this, alive = this->alive, id = worker.facts.id, task = attempt.task, run = attempt.run](bool isAccepted) {
+            [this, alive = this->alive, id = worker.info.id, task = attempt.task, run = attempt.run](bool isAccepted) {
                 if (*alive)
                     this->handleStopAnswer(id, task, run, isAccepted);
             });
@@ -210,16 +212,17 @@
 
     void orderThrottle(WorkerRow& worker, Attempt& attempt)
     {
-        attempt.paceUnderWay = true;
+        attempt.isSpeedOrderPending = true;
         writeLog(LogLevel::Info,
             LogLine("task_throttle")
                 .add("task", attempt.task.text())
                 .add("run", attempt.run)
-                .add("worker", worker.facts.id.string())
-                .add("percent", attempt.wantedPace));
-        this->link.pace(this->leases.endpointOf(worker), { attempt.task, attempt.run, attempt.wantedPace, this->token },
-            [this, alive = this->alive, id = worker.facts.id, task = attempt.task, run = attempt.run,
-                percent = attempt.wantedPace](bool isAccepted) {
+                .add("worker", worker.info.id.string())
+                .add("percent", attempt.wantedSpeedPercent));
+        this->link.throttle(this->leases.endpointOf(worker),
+            { attempt.task, attempt.run, attempt.wantedSpeedPercent, this->token },
+            [this, alive = this->alive, id = worker.info.id, task = attempt.task, run = attempt.run,
+                percent = attempt.wantedSpeedPercent](bool isAccepted) {
                 if (*alive)
                     this->handleThrottleAnswer(id, task, run, isAccepted ? std::optional(percent) : std::nullopt);
             });
@@ -234,9 +237,9 @@
         auto found = worker->attempts.find(task);
         if (found == worker->attempts.end() || found->second.run != run)
             return;
-        found->second.paceUnderWay = false;
+        found->second.isSpeedOrderPending = false;
         if (accepted)
-            found->second.pacePercent = *accepted;
+            found->second.speedPercent = *accepted;
     }
 
     void handleStopAnswer(const WorkerId& id, const TaskName& task, std::uint32_t run, bool isAccepted)
@@ -247,17 +250,17 @@
         Attempt* attempt = nullptr;
         if (auto found = worker->attempts.find(task); found != worker->attempts.end() && found->second.run == run)
             attempt = &found->second;
-        else if (auto orphan = worker->strays.find({ task, run }); orphan != worker->strays.end())
+        else if (auto orphan = worker->orphans.find({ task, run }); orphan != worker->orphans.end())
             attempt = &orphan->second;
         if (!attempt)
             return;
-        attempt->stopUnderWay = false;
+        attempt->isStopOrderPending = false;
         if (!isAccepted)
             return;
         // From now on the worker refuses a start order that arrives late.
         attempt->isAnswered = true;
         attempt->confirmedAt = BootClock::now();
-        attempt->nextStop = Deadline::after(BootClock::now(), stopEffectPeriod);
+        attempt->nextStopOrder = Deadline::after(BootClock::now(), stopEffectPeriod);
     }
 
     Link& link;
--- a/modules/coordinator/placing/ProgressWriter.h
+++ b/modules/coordinator/placing/ProgressWriter.h
@@ -38,7 +38,7 @@
     /// Ignores all answers that arrive from now on.
     void close() { *this->alive = false; }
 
-    /// Stores all unrecorded jobs. If a flush is under way, another one follows it.
+    /// Stores all jobs with unsaved changes. If a flush is under way, another one follows it.
     void flush()
     {
         if (this->isUnderWay) {
@@ -49,8 +49,8 @@
         this->isFlushPending = false;
         this->endsAtFlushStart.clear();
         for (const auto& [id, worker] : this->tables.workers)
-            this->endsAtFlushStart.emplace(id, worker.endsSeen);
-        this->queue.assign(this->tables.unrecorded.begin(), this->tables.unrecorded.end());
+            this->endsAtFlushStart.emplace(id, worker.appliedEnds);
+        this->queue.assign(this->tables.unsavedJobs.begin(), this->tables.unsavedJobs.end());
         this->writeNext();
     }
 
@@ -88,11 +88,11 @@
     {
         auto found = this->tables.jobs.find(id);
         if (found == this->tables.jobs.end()) {
-            this->tables.unrecorded.erase(id);
+            this->tables.unsavedJobs.erase(id);
             return;
         }
         JobRow& job = found->second;
-        this->tables.unrecorded.erase(id);
+        this->tables.unsavedJobs.erase(id);
         if (!job.hasEnded()) {
             commit.expected.emplace_back(StoreKeys::progress(id), job.progressRevision);
             commit.puts.emplace_back(StoreKeys::progress(id), this->progressCodec.encode(this->tables.progressOf(job)));
@@ -140,7 +140,7 @@
             if (job == this->tables.jobs.end())
                 continue;
             if (write.isEnd)
-                this->forget(job->second);
+                this->removeJob(job->second);
             else {
                 job->second.progressRevision = result.value().revision;
                 this->onStored(job->second);
@@ -165,7 +165,7 @@
             if (!write.isEnd)
                 job->second.progressRevision = result.currentRevision(StoreKeys::progress(write.job));
             else if (result.currentRevision(StoreKeys::job(write.job)) == 0)
-                this->forget(job->second);
+                this->removeJob(job->second);
         }
         this->retry(writes);
     }
@@ -174,12 +174,12 @@
     {
         for (const auto& write : writes) {
             if (auto job = this->tables.jobs.find(write.job); job != this->tables.jobs.end())
-                this->tables.markUnrecorded(job->second);
+                this->tables.markUnsaved(job->second);
         }
         this->isUnderWay = false;
     }
 
-    void forget(JobRow& job)
+    void removeJob(JobRow& job)
     {
         writeLog(LogLevel::Info,
             LogLine("job_ended")
@@ -188,7 +188,7 @@
                 .add("team", job.record.team.string())
                 .add("state", nameOf(job.state))
                 .add("after_ms", unixMilliseconds() - job.record.receivedUnixMs));
-        this->tables.forgetJob(job.record.id);
+        this->tables.removeJob(job.record.id);
     }
 
     void finishFlush()
@@ -196,10 +196,10 @@
         this->isUnderWay = false;
         for (const auto& [id, ends] : this->endsAtFlushStart) {
             if (auto* worker = this->tables.findWorker(id))
-                worker->endsRecorded = std::max(worker->endsRecorded, std::min(ends, worker->endsSeen));
+                worker->storedEnds = std::max(worker->storedEnds, std::min(ends, worker->appliedEnds));
         }
         this->onFlushed();
-        if (this->isFlushPending && !this->tables.unrecorded.empty())
+        if (this->isFlushPending && !this->tables.unsavedJobs.empty())
             this->flush();
     }
 
--- a/modules/coordinator/placing/WorkerRosterManager.h
+++ b/modules/coordinator/placing/WorkerRosterManager.h
@@ -62,11 +62,11 @@
                 writeLog(LogLevel::Error, LogLine("stored_worker_roster_unreadable"));
                 return;
             }
-            for (auto& facts : record->workers) {
-                auto [entry, isNew] = this->tables.workers.try_emplace(facts.id);
+            for (auto& info : record->workers) {
+                auto [entry, isNew] = this->tables.workers.try_emplace(info.id);
                 if (!isNew)
                     continue;
-                entry->second.facts = facts;
+                entry->second.info = info;
                 entry->second.isListed = false;
                 entry->second.isSuspect = true;
             }
@@ -79,7 +79,7 @@
             return true;
         for (const auto& [id, worker] : this->tables.workers) {
             auto found = this->storedIncarnations.find(id);
-            if (found == this->storedIncarnations.end() || found->second != worker.facts.bornUnixMs)
+            if (found == this->storedIncarnations.end() || found->second != worker.info.incarnationUnixMs)
                 return true;
         }
         return false;
@@ -90,8 +90,8 @@
         WorkerRosterRecord record;
         std::map<WorkerId, std::int64_t> incarnations;
         for (const auto& [id, worker] : this->tables.workers) {
-            record.workers.push_back(worker.facts);
-            incarnations.emplace(id, worker.facts.bornUnixMs);
+            record.workers.push_back(worker.info);
+            incarnations.emplace(id, worker.info.incarnationUnixMs);
         }
         KvCommit commit { { this->leadership.condition(), { StoreKeys::workerRoster, this->revision } },
             { { StoreKeys::workerRoster, record.encode() } }, {} };
@@ -111,9 +111,9 @@
             this->leadership.confirm(sentAt);
             this->revision = result.value().revision;
             this->storedIncarnations = incarnations;
-            for (const auto& [id, born] : incarnations) {
+            for (const auto& [id, incarnation] : incarnations) {
                 if (auto* worker = this->tables.findWorker(id))
-                    worker->isRecorded = true;
+                    worker->isOnRoster = true;
             }
         });
     }
--- a/modules/coordinator/placing/WorkerRosterRecord.cpp
+++ b/modules/coordinator/placing/WorkerRosterRecord.cpp
@@ -11,7 +11,7 @@
     Pool,
     Address,
     Port,
-    Born,
+    Incarnation,
     ColumnCount,
 };
 
@@ -27,7 +27,7 @@
         row[Pool] = worker.pool.string();
         row[Address] = worker.address;
         row[Port] = worker.port;
-        row[Born] = Json::Int64(worker.bornUnixMs);
+        row[Incarnation] = Json::Int64(worker.incarnationUnixMs);
         value["workers"].append(row);
     }
     return toCompactJson(value);
@@ -48,7 +48,7 @@
             worker.pool = PoolId(row[Pool].asString());
             worker.address = row[Address].asString();
             worker.port = static_cast<std::uint16_t>(row[Port].asUInt());
-            worker.bornUnixMs = row[Born].asInt64();
+            worker.incarnationUnixMs = row[Incarnation].asInt64();
             record.workers.push_back(std::move(worker));
         }
     } catch (const Json::Exception&) {
--- a/modules/coordinator/tests/CoordinatorTests.cpp
+++ b/modules/coordinator/tests/CoordinatorTests.cpp
@@ -18,18 +18,18 @@
 
 /// One daemon: a coordinator and a job service, with access to the stand-ins for store and workers.
 struct FakeDaemon {
-    static constexpr Milliseconds leaseLength { 4000 };
-    static constexpr Milliseconds keepEndedFor { 3000 };
+    static constexpr Milliseconds leaseDuration { 4000 };
+    static constexpr Milliseconds endedJobRetention { 3000 };
     using TestCoordinator = Coordinator<MemoryStore, FakeLink, FakeVms, FakeAdvice>;
 
     FakeDaemon(event_base& base, MemoryTables& tables, FakeWorkers& workers, const char* name, const char* incarnation)
         : store(base, tables)
         , link(base, workers)
-        , machines(base)
+        , vmService(base)
         , advice(base)
-        , coordinator(base, this->store, this->link, this->machines, this->advice, DaemonId(name),
-              IncarnationId(incarnation), { leaseLength, Milliseconds(0), keepEndedFor })
-        , desk(this->store)
+        , coordinator(base, this->store, this->link, this->vmService, this->advice, DaemonId(name),
+              IncarnationId(incarnation), { leaseDuration, Milliseconds(0), endedJobRetention })
+        , jobService(this->store)
     {
         auto policies = std::make_shared<JobPolicies>();
         policies->version = 1;
@@ -43,8 +43,8 @@
         queue.advice = AdvicePolicy { Milliseconds(5), Milliseconds(1), Milliseconds(3000) };
         policies->queues[queue.id] = queue;
         this->coordinator.setPolicies(policies);
-        this->coordinator.onDirectoryWanted([this](bool isWanted) {
-            if (isWanted)
+        this->coordinator.onWorkerWatchNeeded([this](bool isNeeded) {
+            if (isNeeded)
                 this->coordinator.setWorkers(FakeDaemon::directory());
         });
     }
@@ -53,21 +53,21 @@
     {
         std::vector<WorkerInfo> workers;
         for (const char* name : { "w1", "w2" }) {
-            WorkerInfo facts;
-            facts.id = WorkerId(name);
-            facts.pool = PoolId("north");
-            facts.capacity = { 8000, 64'000, 0 };
-            workers.push_back(facts);
+            WorkerInfo info;
+            info.id = WorkerId(name);
+            info.pool = PoolId("north");
+            info.capacity = { 8000, 64'000, 0 };
+            workers.push_back(info);
         }
         return workers;
     }
 
     MemoryStore store;
     FakeLink link;
-    FakeVms machines;
+    FakeVms vmService;
     FakeAdvice advice;
     TestCoordinator coordinator;
-    JobService<MemoryStore> desk;
+    JobService<MemoryStore> jobService;
 };
 
 struct CoordinatorFixture {
@@ -114,7 +114,7 @@
     JobRequestOutcome submit(FakeDaemon& daemon, const JobRecord& record)
     {
         std::optional<JobRequestOutcome> outcome;
-        daemon.desk.submit(record, Deadline::after(BootClock::now(), Milliseconds(500)),
+        daemon.jobService.submit(record, Deadline::after(BootClock::now(), Milliseconds(500)),
             [&outcome](JobRequestOutcome result) { outcome = result; });
         this->runUntil([&outcome] { return outcome.has_value(); });
         return *outcome;
@@ -123,7 +123,7 @@
     JobStateAnswer state(FakeDaemon& daemon, const std::string& id)
     {
         std::optional<JobStateAnswer> answer;
-        daemon.desk.findState(JobId(id), [&answer](JobStateAnswer result) { answer = result; });
+        daemon.jobService.findState(JobId(id), [&answer](JobStateAnswer result) { answer = result; });
         this->runUntil([&answer] { return answer.has_value(); });
         return *answer;
     }
@@ -153,7 +153,7 @@
     BOOST_TEST((this->submit(*this->first, this->job("j", 4)) == JobRequestOutcome::Stored));
     BOOST_TEST(this->runUntil([this] { return this->isCompleted("j"); }));
     BOOST_TEST(this->workers.starts == 4U);
-    BOOST_TEST(this->workers.doubled.empty());
+    BOOST_TEST(this->workers.startedTwice.empty());
     JobStateAnswer answer = this->state(*this->first, "j");
     BOOST_TEST((answer.outcome == JobRequestOutcome::Stored && answer.state == JobState::Completed));
     BOOST_TEST((this->state(*this->first, "none").outcome == JobRequestOutcome::NoSuchJob));
@@ -172,8 +172,8 @@
     BOOST_TEST(this->runUntil([this] { return this->isCompleted("j"); }));
     BOOST_TEST(this->workers.starts == 4U);
     BOOST_TEST((this->workers.tickets == std::set<std::string> { "ticket for w2" }));
-    // The first question is refused and the second one answered; no further one is needed.
-    BOOST_TEST(this->first->advice.questions == 2U);
+    // The first request is refused and the second one answered; no further one is needed.
+    BOOST_TEST(this->first->advice.requests == 2U);
 }
 
 BOOST_AUTO_TEST_CASE(aRepeatedSubmissionStaysOneJob)
@@ -237,7 +237,7 @@
     this->first->store.isUnresponsive = true;
     BOOST_TEST(this->runUntil([this] { return this->second->coordinator.isLeader(); }));
     BOOST_TEST(this->runUntil([this] { return this->isCompleted("j"); }));
-    BOOST_TEST(this->workers.doubled.empty());
+    BOOST_TEST(this->workers.startedTwice.empty());
     BOOST_TEST(this->workers.starts == 4U);
     BOOST_TEST(!this->first->coordinator.leadershipState().mayAct(BootClock::now()));
 }
@@ -259,7 +259,7 @@
     this->second->link.unreachable = { this->busiestWorker() };
     BOOST_TEST(this->runUntil([this] { return this->isCompleted("j"); }, Milliseconds(15'000)));
     BOOST_TEST(this->workers.starts > 4U);
-    BOOST_TEST(this->workers.doubled.empty());
+    BOOST_TEST(this->workers.startedTwice.empty());
 }
 
 BOOST_AUTO_TEST_CASE(aRestartedLeaderBecomesLeaderAgainAtOnce)
@@ -275,7 +275,7 @@
     this->second->coordinator.start();
     BOOST_TEST(this->runUntil([this] { return this->second->coordinator.isLeader(); }, Milliseconds(300)));
     BOOST_TEST(this->runUntil([this] { return this->isCompleted("j"); }));
-    BOOST_TEST(this->workers.doubled.empty());
+    BOOST_TEST(this->workers.startedTwice.empty());
     BOOST_TEST(this->workers.starts == 4U);
 }
 
@@ -314,7 +314,7 @@
     }
     for (int index = 0; index < 5; ++index)
         BOOST_TEST(this->runUntil([this, index] { return this->isCompleted("j" + std::to_string(index)); }));
-    BOOST_TEST(this->workers.doubled.empty());
+    BOOST_TEST(this->workers.startedTwice.empty());
     BOOST_TEST(this->workers.starts == 10U);
 }
 
@@ -344,7 +344,7 @@
         this->first->store.commit(leaderChange, [](auto) {});
     }
     BOOST_TEST(this->runUntil([this] { return this->isCompleted("u19") && this->isCompleted("j19"); }));
-    BOOST_TEST(this->workers.doubled.empty());
+    BOOST_TEST(this->workers.startedTwice.empty());
 }
 
 /// Guards against tasks that run twice: a listing may be made before a job ends and be answered after it, and then
@@ -363,7 +363,7 @@
     BOOST_TEST(this->runUntil([this] { return this->isCompleted("j"); }));
     this->runFor(Milliseconds(2500));
     BOOST_TEST(this->workers.starts == 3U);
-    BOOST_TEST(this->workers.doubled.empty());
+    BOOST_TEST(this->workers.startedTwice.empty());
 }
 
 BOOST_AUTO_TEST_CASE(theStateOfAnEndedJobIsKeptForAWhileAndThenRemoved)
@@ -374,7 +374,7 @@
     BOOST_REQUIRE(this->runUntil([this] { return this->isCompleted("j"); }));
     Instant ended = BootClock::now();
     BOOST_TEST(this->runUntil([this] { return !this->isCompleted("j"); }, Milliseconds(8000)));
-    BOOST_TEST((BootClock::now() - ended >= FakeDaemon::keepEndedFor - Milliseconds(50)));
+    BOOST_TEST((BootClock::now() - ended >= FakeDaemon::endedJobRetention - Milliseconds(50)));
 }
 
 BOOST_AUTO_TEST_CASE(aCancelledJobIsStopped)
@@ -385,7 +385,7 @@
     this->submit(*this->first, this->job("j", 3));
     BOOST_REQUIRE(this->runUntil([this] { return this->workers.starts == 3U; }));
     std::optional<JobRequestOutcome> outcome;
-    this->first->desk.cancel(JobId("j"), Deadline::after(BootClock::now(), Milliseconds(500)),
+    this->first->jobService.cancel(JobId("j"), Deadline::after(BootClock::now(), Milliseconds(500)),
         [&outcome](JobRequestOutcome result) { outcome = result; });
     BOOST_TEST(this->runUntil([&outcome] { return outcome == JobRequestOutcome::Stored; }));
     BOOST_TEST(this->runUntil([this] { return this->state(*this->first, "j").state == JobState::Cancelled; }));
@@ -407,7 +407,7 @@
     this->first->link.loseStarts = 2;
     this->submit(*this->first, this->job("j", 2));
     BOOST_TEST(this->runUntil([this] { return this->isCompleted("j"); }, Milliseconds(2000)));
-    BOOST_TEST(this->workers.doubled.empty());
+    BOOST_TEST(this->workers.startedTwice.empty());
 }
 
 /// Guards against a lease that expires because several renewals in a row are lost.
@@ -436,7 +436,7 @@
     this->workers.workers[host].running.begin()->second.endsAtMs += 60'000;
     this->first->link.unreachable = { host };
     BOOST_TEST(this->runUntil([this] { return this->isCompleted("j"); }));
-    BOOST_TEST(this->workers.doubled.empty());
+    BOOST_TEST(this->workers.startedTwice.empty());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/modules/coordinator/tests/FakeAdvice.h
+++ b/modules/coordinator/tests/FakeAdvice.h
@@ -18,13 +18,13 @@
 
     /// Workers that may run every step.
     std::set<WorkerId> fit;
-    /// How many of the next questions are refused.
+    /// How many of the next requests are refused.
     int refuse = 0;
-    std::size_t questions = 0;
+    std::size_t requests = 0;
 
-    void ask(const AdviceRequest& question, AdviceCallback callback)
+    void ask(const AdviceRequest& request, AdviceCallback callback)
     {
-        this->questions += 1;
+        this->requests += 1;
         if (this->refuse > 0) {
             this->refuse -= 1;
             after(this->base, Milliseconds(1), [callback = std::move(callback)] { callback(AdviceFailure::Busy); });
@@ -32,9 +32,9 @@
         }
         AdviceAnswer answer;
         answer.validFor = Milliseconds(3000);
-        for (const auto& worker : question.workers) {
+        for (const auto& worker : request.workers) {
             if (this->fit.contains(worker))
-                answer.fit.emplace(worker, "ticket for " + worker.string());
+                answer.tickets.emplace(worker, "ticket for " + worker.string());
         }
         after(this->base, Milliseconds(5), [callback = std::move(callback), answer] { callback(answer); });
     }
--- a/modules/coordinator/tests/FakeWorkers.h
+++ b/modules/coordinator/tests/FakeWorkers.h
@@ -37,7 +37,7 @@
     /// Tasks that completed, and how often.
     std::map<TaskName, int> done;
     /// Tasks that were started while they ran elsewhere, or after their completion was stored.
-    std::vector<TaskName> doubled;
+    std::vector<TaskName> startedTwice;
     /// Tasks whose completion the coordinator has acknowledged as stored.
     std::set<TaskName> storedAsDone;
     std::size_t starts = 0;
@@ -124,7 +124,7 @@
         after(this->base, Milliseconds(2), [callback = std::move(callback), isAccepted] { callback(isAccepted); });
     }
 
-    void pace(const WorkerEndpoint&, const ThrottleAttempt&, OrderCallback callback)
+    void throttle(const WorkerEndpoint&, const ThrottleAttempt&, OrderCallback callback)
     {
         after(this->base, Milliseconds(2), [callback = std::move(callback)] { callback(true); });
     }
@@ -147,7 +147,7 @@
         if (order.leaseUntilClockMs)
             worker.leaseUntilMs = std::max(worker.leaseUntilMs, *order.leaseUntilClockMs);
         std::erase_if(worker.ended, [&](const EndedAttempt& end) {
-            bool isStored = end.number <= order.recordedEnds;
+            bool isStored = end.number <= order.storedEnds;
             if (isStored && end.kind == EndKind::Done)
                 this->workers.storedAsDone.insert(end.task);
             return isStored;
@@ -168,7 +168,7 @@
         if (worker.stopped.contains({ order.task, order.run }))
             return StartOutcome::Outdated;
         if (this->workers.isRunningAnywhere(order.task) || this->workers.storedAsDone.contains(order.task))
-            this->workers.doubled.push_back(order.task);
+            this->workers.startedTwice.push_back(order.task);
         this->workers.starts += 1;
         this->workers.tickets.insert(order.ticket);
         this->workers.startedJobs.insert(order.task.job);
@@ -200,7 +200,7 @@
     FakeWorkers& workers;
 };
 
-/// A stand-in for the machine service, with no VMs.
+/// A stand-in for the VM service, with no VMs.
 class FakeVms {
 public:
     explicit FakeVms(event_base& base)
@@ -213,14 +213,14 @@
         after(this->base, Milliseconds(1), [callback = std::move(callback)] { callback(std::vector<VmInfo>()); });
     }
 
-    void beginUpkeep(const VmId&, std::int64_t, std::int64_t, VmOrderCallback callback)
+    void beginMaintenance(const VmId&, std::int64_t, std::int64_t, VmOrderCallback callback)
     {
-        after(this->base, Milliseconds(1), [callback = std::move(callback)] { callback(VmOrderOutcome::Taken); });
+        after(this->base, Milliseconds(1), [callback = std::move(callback)] { callback(VmOrderOutcome::Accepted); });
     }
 
     void move(const VmId&, const PoolId&, std::int64_t, VmOrderCallback callback)
     {
-        after(this->base, Milliseconds(1), [callback = std::move(callback)] { callback(VmOrderOutcome::Taken); });
+        after(this->base, Milliseconds(1), [callback = std::move(callback)] { callback(VmOrderOutcome::Accepted); });
     }
 
 private:
--- a/modules/coordinator/tests/FleetTests.cpp
+++ b/modules/coordinator/tests/FleetTests.cpp
@@ -17,16 +17,16 @@
     BOOST_TEST(waveAgain->isCompleted);
     BOOST_TEST(waveAgain->done.size() == 2U);
 
-    WorkerInfo facts;
-    facts.id = WorkerId("w1");
-    facts.pool = PoolId("north");
-    facts.address = "127.0.0.1";
-    facts.port = 7000;
-    facts.bornUnixMs = 12;
-    auto workerRoster = WorkerRosterRecord::decode(WorkerRosterRecord { { facts } }.encode());
+    WorkerInfo info;
+    info.id = WorkerId("w1");
+    info.pool = PoolId("north");
+    info.address = "127.0.0.1";
+    info.port = 7000;
+    info.incarnationUnixMs = 12;
+    auto workerRoster = WorkerRosterRecord::decode(WorkerRosterRecord { { info } }.encode());
     BOOST_REQUIRE((workerRoster && workerRoster->workers.size() == 1U));
     BOOST_TEST(workerRoster->workers.front().port == 7000);
-    BOOST_TEST(workerRoster->workers.front().bornUnixMs == 12);
+    BOOST_TEST(workerRoster->workers.front().incarnationUnixMs == 12);
 
     auto leader = LeaderRecord::decode(LeaderRecord { DaemonId("d"), IncarnationId("i"), 3 }.encode());
     BOOST_REQUIRE(leader.has_value());
--- a/modules/coordinator/workers/AdviceService.h
+++ b/modules/coordinator/workers/AdviceService.h
@@ -11,10 +11,10 @@
 
 /// Why the advice service gave no usable answer.
 enum class AdviceFailure {
-    /// Too many questions are queued at the service.
+    /// Too many requests are queued at the service.
     Busy,
     NoAnswer,
-    /// The answer could not be parsed, or the question was refused.
+    /// The answer could not be parsed, or the request was refused.
     Malformed,
 };
 
@@ -30,9 +30,9 @@
 
 /// Answers which workers may run a step. Each call ends in exactly one callback, from the loop.
 template <typename Service>
-concept AdviceService = requires(Service& service, const AdviceRequest& question, AdviceCallback callback)
+concept AdviceService = requires(Service& service, const AdviceRequest& request, AdviceCallback callback)
 {
-    service.ask(question, callback);
+    service.ask(request, callback);
 };
 
 } // namespace Greengage
--- a/modules/coordinator/workers/WorkerFailure.h
+++ b/modules/coordinator/workers/WorkerFailure.h
@@ -9,7 +9,7 @@
     /// The worker has seen a higher fencing token.
     Fenced,
     /// Another incarnation of the worker, or another worker, answered.
-    OtherLife,
+    OtherIncarnation,
     /// The worker answered that it is unhealthy, or its answer could not be parsed.
     Unhealthy,
     NoAnswer,
@@ -18,7 +18,7 @@
 template <> struct EnumNames<WorkerFailure> {
     static constexpr std::array<std::pair<WorkerFailure, std::string_view>, 4> table { {
         { WorkerFailure::Fenced, "fenced" },
-        { WorkerFailure::OtherLife, "other_life" },
+        { WorkerFailure::OtherIncarnation, "other_incarnation" },
         { WorkerFailure::Unhealthy, "unhealthy" },
         { WorkerFailure::NoAnswer, "no_answer" },
     } };
--- a/modules/coordinator/workers/WorkerLink.h
+++ b/modules/coordinator/workers/WorkerLink.h
@@ -18,12 +18,13 @@
 
 /// Sends orders to workers. Each call ends in exactly one callback, from the loop.
 template <typename Link>
-concept WorkerLink = requires(Link& link, const WorkerEndpoint& worker, StartAttempt start, StopAttempt stop,
-    RenewLease renew, ThrottleAttempt pace, StartCallback onStarted, OrderCallback onAnswered, ReportCallback onReport)
+concept WorkerLink
+    = requires(Link& link, const WorkerEndpoint& worker, StartAttempt start, StopAttempt stop, RenewLease renew,
+        ThrottleAttempt throttle, StartCallback onStarted, OrderCallback onAnswered, ReportCallback onReport)
 {
     link.start(worker, start, onStarted);
     link.stop(worker, stop, onAnswered);
-    link.pace(worker, pace, onAnswered);
+    link.throttle(worker, throttle, onAnswered);
     link.renew(worker, renew, onReport);
 };
 
--- a/modules/coordinator/workers/WorkerOrders.h
+++ b/modules/coordinator/workers/WorkerOrders.h
@@ -44,7 +44,7 @@
     std::optional<std::int64_t> leaseUntilClockMs;
     std::int64_t fencingToken = 0;
     /// Ends with numbers up to this one are stored.
-    std::uint64_t recordedEnds = 0;
+    std::uint64_t storedEnds = 0;
     /// How long the worker may delay its answer until an attempt ends.
     Milliseconds wait { 0 };
 };
--- a/modules/jobs/codec/JobRecordCodec.cpp
+++ b/modules/jobs/codec/JobRecordCodec.cpp
@@ -29,8 +29,8 @@
         value["perWorker"] = step.perWorkerLimit;
     if (step.tailTarget.count())
         value["tailTargetMs"] = Json::Int64(step.tailTarget.count());
-    if (step.mayMiss)
-        value["mayMiss"] = step.mayMiss;
+    if (step.maxUnavailableTasks)
+        value["mayMiss"] = step.maxUnavailableTasks;
     auto addFlag = [&value](const char* name, bool flag) {
         if (flag)
             value[name] = true;
@@ -39,8 +39,8 @@
     addFlag("gang", step.gang);
     addFlag("sameRack", step.sameRack);
     addFlag("speculative", step.speculative);
-    addFlag("lasting", step.lasting);
-    addFlag("fills", step.fills);
+    addFlag("lasting", step.longRunning);
+    addFlag("fills", step.bestEffort);
     return value;
 }
 
@@ -57,13 +57,13 @@
     step.image = value["image"].asString();
     step.perWorkerLimit = value["perWorker"].asUInt();
     step.tailTarget = Milliseconds(value["tailTargetMs"].asInt64());
-    step.mayMiss = value["mayMiss"].asUInt();
+    step.maxUnavailableTasks = value["mayMiss"].asUInt();
     step.checkpoints = value["checkpoints"].asBool();
     step.gang = value["gang"].asBool();
     step.sameRack = value["sameRack"].asBool();
     step.speculative = value["speculative"].asBool();
-    step.lasting = value["lasting"].asBool();
-    step.fills = value["fills"].asBool();
+    step.longRunning = value["lasting"].asBool();
+    step.bestEffort = value["fills"].asBool();
     return step;
 }
 
--- a/modules/jobs/model/AdviceAnswer.h
+++ b/modules/jobs/model/AdviceAnswer.h
@@ -8,10 +8,10 @@
 
 namespace Greengage {
 
-/// The answer of the advice service: which of the workers in the question may run the step, with the text of the ticket
+/// The answer of the advice service: which of the workers in the request may run the step, with the text of the ticket
 /// for each.
 struct AdviceAnswer {
-    std::map<WorkerId, std::string> fit;
+    std::map<WorkerId, std::string> tickets;
     /// How long the tickets are valid, counted from the arrival of the answer.
     Milliseconds validFor { 0 };
 };
--- a/modules/jobs/model/AdviceRequest.h
+++ b/modules/jobs/model/AdviceRequest.h
@@ -8,13 +8,13 @@
 
 namespace Greengage {
 
-/// A question to the advice service: which of these workers may run the tasks of a step?
+/// A request to the advice service: which of these workers may run the tasks of a step?
 struct AdviceRequest {
     /// Names the step; the task index is ignored.
     TaskName step;
     std::vector<WorkerId> workers;
     /// Expected duration of the call.
-    Milliseconds takes { 0 };
+    Milliseconds expectedDuration { 0 };
 };
 
 } // namespace Greengage
--- a/modules/jobs/model/MaintenanceWave.h
+++ b/modules/jobs/model/MaintenanceWave.h
@@ -13,7 +13,7 @@
 /// An order of the operators to take each of a set of VMs down for maintenance.
 struct MaintenanceWave {
     std::int64_t number = 0;
-    std::vector<VmId> machines;
+    std::vector<VmId> vms;
     /// How many of these VMs may be down at a time.
     std::uint32_t maximum = 1;
     /// When the maintenance of all VMs is to have begun.
--- a/modules/jobs/model/StartOutcome.h
+++ b/modules/jobs/model/StartOutcome.h
@@ -13,14 +13,14 @@
     Outdated,
     /// The deadline of the order had passed when it reached the worker.
     TooLate,
-    NoRoom,
+    NoFreeCapacity,
     NoTicket,
     /// The worker refused because it is unhealthy or overloaded.
     Unhealthy,
     /// The order can never be carried out in its present form.
     Invalid,
     /// The worker has restarted: another incarnation of it answered.
-    OtherLife,
+    OtherIncarnation,
     /// The order was not sent.
     NotSent,
     /// There was no answer. The worker may have carried out the order, or may still do so.
@@ -33,11 +33,11 @@
         { StartOutcome::Fenced, "fenced" },
         { StartOutcome::Outdated, "outdated" },
         { StartOutcome::TooLate, "too_late" },
-        { StartOutcome::NoRoom, "no_room" },
+        { StartOutcome::NoFreeCapacity, "no_free_capacity" },
         { StartOutcome::NoTicket, "no_ticket" },
         { StartOutcome::Unhealthy, "unhealthy" },
         { StartOutcome::Invalid, "invalid" },
-        { StartOutcome::OtherLife, "other_life" },
+        { StartOutcome::OtherIncarnation, "other_incarnation" },
         { StartOutcome::NotSent, "not_sent" },
         { StartOutcome::NoAnswer, "no_answer" },
     } };
--- a/modules/jobs/model/StepSpec.h
+++ b/modules/jobs/model/StepSpec.h
@@ -29,7 +29,7 @@
     /// Target for the tail of the response times of a long-running task; zero if the task is not latency-sensitive.
     Milliseconds tailTarget { 0 };
     /// How many tasks of a long-running step this system may make unavailable at a time.
-    std::uint32_t mayMiss = 0;
+    std::uint32_t maxUnavailableTasks = 0;
     bool checkpoints = false;
     /// The tasks can only run together, on attempts with the same number.
     bool gang = false;
@@ -37,14 +37,15 @@
     /// Several copies of one task may run at the same time; the first to finish counts.
     bool speculative = false;
     /// The tasks are long-running: they run until the job is cancelled.
-    bool lasting = false;
+    bool longRunning = false;
     /// The tasks are best-effort: they use only processor time that other tasks leave.
-    bool fills = false;
+    bool bestEffort = false;
 
     /// The part of a worker's capacity that each task occupies.
     ResourceAmount occupiedPerTask() const
     {
-        return { this->fills ? 0 : this->demand.cpuMillis, this->demand.memoryMegabytes, this->demand.accelerators };
+        return { this->bestEffort ? 0 : this->demand.cpuMillis, this->demand.memoryMegabytes,
+            this->demand.accelerators };
     }
 };
 
--- a/modules/jobs/model/VmInfo.h
+++ b/modules/jobs/model/VmInfo.h
@@ -12,7 +12,7 @@
 enum class VmPhase {
     Up,
     Moving,
-    InUpkeep,
+    InMaintenance,
     Down,
 };
 
@@ -20,7 +20,7 @@
     static constexpr std::array<std::pair<VmPhase, std::string_view>, 4> table { {
         { VmPhase::Up, "up" },
         { VmPhase::Moving, "moving" },
-        { VmPhase::InUpkeep, "in_upkeep" },
+        { VmPhase::InMaintenance, "in_upkeep" },
         { VmPhase::Down, "down" },
     } };
 };
--- a/modules/jobs/model/WorkerInfo.h
+++ b/modules/jobs/model/WorkerInfo.h
@@ -22,7 +22,7 @@
     std::string rack;
     /// Identifies the incarnation of the worker: its start time in Unix milliseconds; 0 if the worker does not report
     /// it.
-    std::int64_t bornUnixMs = 0;
+    std::int64_t incarnationUnixMs = 0;
     bool draining = false;
 };
 
--- a/modules/jobs/model/WorkerReport.h
+++ b/modules/jobs/model/WorkerReport.h
@@ -15,7 +15,7 @@
     std::uint32_t run = 0;
     std::string checkpoint;
     /// The speed at which the attempt runs, in percent of full speed: 0 to 100.
-    int pacePercent = 100;
+    int speedPercent = 100;
     /// For a latency-sensitive task, the tail of its response times in milliseconds; otherwise the processor time in
     /// use.
     std::int64_t load = 0;
@@ -34,7 +34,7 @@
 struct WorkerReport {
     /// The worker's steady clock at the time of its answer, in milliseconds.
     std::int64_t clockMs = 0;
-    std::int64_t bornUnixMs = 0;
+    std::int64_t incarnationUnixMs = 0;
     std::vector<RunningAttempt> running;
     std::vector<EndedAttempt> ended;
     /// False if there are more ends than fit into the report.
--- a/modules/jobs/systems/AdviceSystem.cpp
+++ b/modules/jobs/systems/AdviceSystem.cpp
@@ -9,14 +9,14 @@
 
 namespace Greengage {
 
-std::optional<AdviceRequest> AdviceSystem::nextQuestion(Instant now, std::int64_t nowUnixMs)
+std::optional<AdviceRequest> AdviceSystem::nextRequest(Instant now, std::int64_t nowUnixMs)
 {
-    const auto& queues = this->board.policies->queues;
+    const auto& queues = this->tables.policies->queues;
     if (std::none_of(queues.begin(), queues.end(), [](const auto& entry) { return entry.second.advice.has_value(); }))
         return std::nullopt;
     std::optional<AdviceRequest> best;
     std::pair<bool, std::int64_t> bestRank;
-    for (auto& [id, job] : this->board.jobs) {
+    for (auto& [id, job] : this->tables.jobs) {
         auto queue = queues.find(job.record.queue);
         if (job.hasEnded() || queue == queues.end() || !queue->second.advice)
             continue;
@@ -24,8 +24,8 @@
         std::pair rank(!objective.canBeOnTime(nowUnixMs), objective.latestStartUnixMs());
         if (best && bestRank <= rank)
             continue;
-        if (auto question = this->requestFor(job, queue->second, now, nowUnixMs)) {
-            best = std::move(question);
+        if (auto request = this->requestFor(job, queue->second, now, nowUnixMs)) {
+            best = std::move(request);
             bestRank = rank;
         }
     }
@@ -43,15 +43,16 @@
         for (name.step = 0; name.step < occurrence.steps.size(); ++name.step) {
             const StepRow& step = occurrence.steps[name.step];
             bool needsRequest = step.waitingCount() > 0 && !step.advice.isRequestPending
-                && step.advice.nextRequest.hasPassed(now) && this->board.isReady(job, occurrence, name.step, nowUnixMs);
+                && step.advice.nextRequest.hasPassed(now)
+                && this->tables.isReady(job, occurrence, name.step, nowUnixMs);
             if (!needsRequest)
                 continue;
-            AdviceRequest question { name, this->selectWorkers(job, queue, name, step, now) };
-            if (question.workers.empty())
+            AdviceRequest request { name, this->selectWorkers(job, queue, name, step, now) };
+            if (request.workers.empty())
                 continue;
-            question.takes = queue.advice->decisionTime
-                + queue.advice->timePerWorker * static_cast<std::int64_t>(question.workers.size());
-            return question;
+            request.expectedDuration = queue.advice->decisionTime
+                + queue.advice->timePerWorker * static_cast<std::int64_t>(request.workers.size());
+            return request;
         }
     }
     return std::nullopt;
@@ -62,12 +63,12 @@
 {
     const StepSpec& spec = job.record.spec.steps[name.step];
     std::vector<std::pair<std::int64_t, WorkerId>> found;
-    for (const auto& [id, worker] : this->board.workers) {
-        bool isKnown = step.advice.unfit.contains(id) || step.advice.ticketFor(id, worker.facts.bornUnixMs, now);
-        if (isKnown || worker.facts.pool != queue.pool || !PlacementSystem::takesWork(worker, now)
+    for (const auto& [id, worker] : this->tables.workers) {
+        bool isKnown = step.advice.unfit.contains(id) || step.advice.ticketFor(id, worker.info.incarnationUnixMs, now);
+        if (isKnown || worker.info.pool != queue.pool || !PlacementSystem::acceptsTasks(worker, now)
             || !PlacementSystem::canHost(worker, spec))
             continue;
-        found.emplace_back(worker.occupied.cpuMillis - worker.facts.capacity.cpuMillis, id);
+        found.emplace_back(worker.occupied.cpuMillis - worker.info.capacity.cpuMillis, id);
     }
     std::sort(found.begin(), found.end());
     std::vector<WorkerId> workers;
@@ -78,33 +79,33 @@
 
 StepRow* AdviceSystem::findStep(const TaskName& name)
 {
-    auto job = this->board.jobs.find(name.job);
-    if (job == this->board.jobs.end() || name.occurrence >= job->second.occurrences.size())
+    auto job = this->tables.jobs.find(name.job);
+    if (job == this->tables.jobs.end() || name.occurrence >= job->second.occurrences.size())
         return nullptr;
     auto& steps = job->second.occurrences[name.occurrence].steps;
     return name.step < steps.size() ? &steps[name.step] : nullptr;
 }
 
-void AdviceSystem::take(const AdviceRequest& question, const AdviceAnswer& answer, Instant now)
+void AdviceSystem::handleAnswer(const AdviceRequest& request, const AdviceAnswer& answer, Instant now)
 {
-    StepRow* step = this->findStep(question.step);
+    StepRow* step = this->findStep(request.step);
     if (!step)
         return;
     step->advice.isRequestPending = false;
     Deadline validUntil = Deadline::after(now, std::max(Milliseconds(0), answer.validFor - ticketMargin));
-    for (const auto& id : question.workers) {
-        const WorkerRow* worker = this->board.findWorker(id);
-        auto ticket = answer.fit.find(id);
-        if (ticket == answer.fit.end())
+    for (const auto& id : request.workers) {
+        const WorkerRow* worker = this->tables.findWorker(id);
+        auto ticket = answer.tickets.find(id);
+        if (ticket == answer.tickets.end())
             step->advice.unfit.insert(id);
         else if (worker)
-            step->advice.tickets[id] = { ticket->second, worker->facts.bornUnixMs, validUntil };
+            step->advice.tickets[id] = { ticket->second, worker->info.incarnationUnixMs, validUntil };
     }
 }
 
-void AdviceSystem::fail(const AdviceRequest& question, Instant now)
+void AdviceSystem::handleFailure(const AdviceRequest& request, Instant now)
 {
-    StepRow* step = this->findStep(question.step);
+    StepRow* step = this->findStep(request.step);
     if (!step)
         return;
     step->advice.isRequestPending = false;
--- a/modules/jobs/systems/MaintenanceSystem.h
+++ b/modules/jobs/systems/MaintenanceSystem.h
@@ -16,7 +16,7 @@
 struct WorkerRow;
 
 /// Decides which VMs of a maintenance wave are drained next, and which can be taken down. Long-running tasks leave a
-/// draining VM gradually, within the number that their step may miss. Other tasks get time to end.
+/// draining VM gradually, within the number that their step allows to be unavailable. Other tasks get time to end.
 class MaintenanceSystem {
 public:
     /// Tasks that have not ended this long after the start of the drain are stopped.
@@ -25,24 +25,24 @@
     /// one.
     static constexpr std::size_t poolDivisor = 3;
 
-    explicit MaintenanceSystem(JobTables& board)
-        : board(board)
+    explicit MaintenanceSystem(JobTables& tables)
+        : tables(tables)
     {
     }
 
     /// Chooses VMs to drain, marks attempts on them to be stopped, and returns the VMs that can be taken down now.
-    /// `machines` is the fleet as listed last; `mayBeDown` holds the VMs that were ordered down since.
-    std::vector<VmId> advance(const MaintenanceWave&, const std::map<VmId, VmInfo>& machines,
+    /// `vms` is the fleet as listed last; `mayBeDown` holds the VMs that were ordered down since.
+    std::vector<VmId> advance(const MaintenanceWave&, const std::map<VmId, VmInfo>& vms,
         const std::map<VmId, Deadline>& mayBeDown, Instant now);
 
     /// Ends all drains, so that attempts can be placed on these VMs again.
-    void release();
+    void endDrains();
 
 private:
     void drain(WorkerRow&, Instant since, Instant now);
     bool canStop(const Attempt&) const;
 
-    JobTables& board;
+    JobTables& tables;
     /// When the drain of each worker began.
     std::unordered_map<WorkerId, Instant> drainStartedAt;
 };
--- a/modules/jobs/systems/PlacementSystem.cpp
+++ b/modules/jobs/systems/PlacementSystem.cpp
@@ -15,7 +15,7 @@
 
 bool hasLabel(const WorkerRow& worker, const std::string& label)
 {
-    const auto& labels = worker.facts.labels;
+    const auto& labels = worker.info.labels;
     return std::find(labels.begin(), labels.end(), label) != labels.end();
 }
 
@@ -33,15 +33,15 @@
 
 } // namespace
 
-bool PlacementSystem::takesWork(const WorkerRow& worker, Instant now)
+bool PlacementSystem::acceptsTasks(const WorkerRow& worker, Instant now)
 {
-    return worker.isListed && worker.isRecorded && worker.isReached && !worker.isSuspect && !worker.facts.draining
-        && !worker.isEvacuating && worker.setAsideUntil.hasPassed(now);
+    return worker.isListed && worker.isOnRoster && worker.isReached && !worker.isSuspect && !worker.info.draining
+        && !worker.isDrainOrdered && worker.quarantinedUntil.hasPassed(now);
 }
 
 bool PlacementSystem::canHost(const WorkerRow& worker, const StepSpec& step)
 {
-    return step.occupiedPerTask().fitsIn(worker.facts.capacity - worker.occupied)
+    return step.occupiedPerTask().fitsIn(worker.info.capacity - worker.occupied)
         && (step.requiredLabel.empty() || hasLabel(worker, step.requiredLabel));
 }
 
@@ -73,9 +73,9 @@
     if (candidates.empty())
         return {};
     std::unordered_map<PoolId, Pool> pools;
-    for (auto& [id, worker] : this->board.workers) {
-        if (takesWork(worker, now))
-            pools[worker.facts.pool].workers.push_back(&worker);
+    for (auto& [id, worker] : this->tables.workers) {
+        if (acceptsTasks(worker, now))
+            pools[worker.info.pool].workers.push_back(&worker);
     }
     this->markTeamsOverShare(candidates);
     std::sort(candidates.begin(), candidates.end(), [](const Candidate& left, const Candidate& right) {
@@ -83,7 +83,7 @@
             < std::tuple(right.urgency, right.priority, right.isTeamOverShare, right.order, right.job->record.id);
     });
     for (const auto& candidate : candidates) {
-        const auto& queue = this->board.policies->queues.at(candidate.job->record.queue);
+        const auto& queue = this->tables.policies->queues.at(candidate.job->record.queue);
         auto pool = pools.find(queue.pool);
         if (pool != pools.end())
             this->placeJob(*candidate.job, pool->second);
@@ -94,11 +94,11 @@
 std::vector<PlacementSystem::Candidate> PlacementSystem::collectCandidates() const
 {
     std::vector<Candidate> candidates;
-    for (auto& [id, job] : this->board.jobs) {
+    for (auto& [id, job] : this->tables.jobs) {
         if (job.hasEnded())
             continue;
-        auto queue = this->board.policies->queues.find(job.record.queue);
-        if (queue == this->board.policies->queues.end())
+        auto queue = this->tables.policies->queues.find(job.record.queue);
+        if (queue == this->tables.policies->queues.end())
             continue;
         bool hasWaiting = std::any_of(job.occurrences.begin(), job.occurrences.end(), [](const auto& occurrence) {
             return std::any_of(occurrence.steps.begin(), occurrence.steps.end(),
@@ -108,7 +108,7 @@
             continue;
         Candidate candidate { &job, Urgency::OnTime, queue->second.priority, 0 };
         JobObjective objective(job, queue->second);
-        if (job.record.spec.steps.front().lasting) {
+        if (job.record.spec.steps.front().longRunning) {
             candidate.urgency = Urgency::LongRunning;
             candidate.order = job.record.receivedUnixMs;
         } else if (objective.canBeOnTime(this->tickUnixMs))
@@ -127,28 +127,28 @@
     std::set<TeamId> teams;
     for (const auto& candidate : candidates)
         teams.insert(candidate.job->record.team);
-    for (const auto& [team, use] : this->board.usage) {
+    for (const auto& [team, use] : this->tables.usage) {
         if (use.cpuMillis > 0)
             teams.insert(team);
     }
     std::int64_t capacity = 0;
-    for (const auto& [id, worker] : this->board.workers)
-        capacity += worker.isListed ? worker.facts.capacity.cpuMillis : 0;
+    for (const auto& [id, worker] : this->tables.workers)
+        capacity += worker.isListed ? worker.info.capacity.cpuMillis : 0;
     double weights = 0;
     for (const auto& team : teams)
         weights += this->weightOf(team);
     for (auto& candidate : candidates) {
         const TeamId& team = candidate.job->record.team;
-        auto use = this->board.usage.find(team);
-        auto used = static_cast<double>(use == this->board.usage.end() ? 0 : use->second.cpuMillis);
+        auto use = this->tables.usage.find(team);
+        auto used = static_cast<double>(use == this->tables.usage.end() ? 0 : use->second.cpuMillis);
         candidate.isTeamOverShare = used * weights > static_cast<double>(capacity) * this->weightOf(team);
     }
 }
 
 double PlacementSystem::weightOf(const TeamId& id) const
 {
-    auto team = this->board.policies->teams.find(id);
-    return team == this->board.policies->teams.end() ? 1.0 : team->second.weight;
+    auto team = this->tables.policies->teams.find(id);
+    return team == this->tables.policies->teams.end() ? 1.0 : team->second.weight;
 }
 
 void PlacementSystem::placeJob(JobRow& job, Pool& pool)
@@ -156,7 +156,7 @@
     for (std::uint32_t occurrence = 0; occurrence < job.occurrences.size(); ++occurrence) {
         auto& row = job.occurrences[occurrence];
         for (std::uint32_t step = 0; step < row.steps.size(); ++step) {
-            if (!row.steps[step].waitingCount() || !this->board.isReady(job, row, step, this->tickUnixMs))
+            if (!row.steps[step].waitingCount() || !this->tables.isReady(job, row, step, this->tickUnixMs))
                 continue;
             if (job.record.spec.steps[step].gang)
                 this->placeGang(job, occurrence, step, pool.workers);
@@ -182,8 +182,8 @@
         WorkerRow* worker = this->chooseFromPool(job, name, pool);
         if (!worker)
             return;
-        this->planAttempt(job, name, *worker, std::max(this->board.lowestRun, tasks[index].run + 1));
-        this->board.markUnrecorded(job);
+        this->planAttempt(job, name, *worker, std::max(this->tables.lowestRun, tasks[index].run + 1));
+        this->tables.markUnsaved(job);
     }
 }
 
@@ -198,7 +198,7 @@
     if (spec.sameRack) {
         std::map<std::string, Workers> racks;
         for (auto* worker : workers)
-            racks[worker->facts.rack].push_back(worker);
+            racks[worker->info.rack].push_back(worker);
         bool isPlaced = std::any_of(racks.begin(), racks.end(),
             [&](const auto& rack) { return this->placeGangMembers(job, occurrence, step, rack.second); });
         if (isPlaced)
@@ -212,7 +212,7 @@
 {
     const StepSpec& spec = job.record.spec.steps[step];
     auto& row = job.occurrences[occurrence].steps[step];
-    std::uint32_t run = this->board.lowestRun;
+    std::uint32_t run = this->tables.lowestRun;
     std::string checkpoint;
     for (const auto& task : row.tasks) {
         run = std::max(run, task.run + 1);
@@ -226,25 +226,25 @@
         if (!worker) {
             // Either all members start or none does.
             for (std::size_t order = firstOrder; order < this->orders.size(); ++order)
-                this->board.releaseAttempt(
-                    this->board.workers.at(this->orders[order].worker), this->orders[order].task);
+                this->tables.releaseAttempt(
+                    this->tables.workers.at(this->orders[order].worker), this->orders[order].task);
             this->orders.resize(firstOrder);
             return false;
         }
         row.tasks[index].checkpoint = checkpoint;
         this->planAttempt(job, name, *worker, run);
     }
-    this->board.markUnrecorded(job);
+    this->tables.markUnsaved(job);
     return true;
 }
 
 void PlacementSystem::stopGangMembers(StepRow& row, const TaskName& step)
 {
-    this->board.forEachAttempt(row, step, [this](WorkerRow& worker, Attempt& attempt) {
+    this->tables.forEachAttempt(row, step, [this](WorkerRow& worker, Attempt& attempt) {
         if (attempt.mayHaveBeenSent())
             attempt.phase = AttemptPhase::Stopping;
         else if (attempt.phase == AttemptPhase::Planned)
-            this->board.releaseAttempt(worker, TaskName(attempt.task));
+            this->tables.releaseAttempt(worker, TaskName(attempt.task));
     });
 }
 
@@ -266,8 +266,8 @@
 
 bool PlacementSystem::needsTicket(const JobRow& job) const
 {
-    auto queue = this->board.policies->queues.find(job.record.queue);
-    return queue != this->board.policies->queues.end() && queue->second.advice.has_value();
+    auto queue = this->tables.policies->queues.find(job.record.queue);
+    return queue != this->tables.policies->queues.end() && queue->second.advice.has_value();
 }
 
 WorkerRow* PlacementSystem::chooseWorker(const JobRow& job, const TaskName& task, const Workers& workers) const
@@ -282,16 +282,16 @@
     for (WorkerRow* worker : workers) {
         if (!canHost(*worker, step))
             continue;
-        if (needsTicket && !row.advice.ticketFor(worker->facts.id, worker->facts.bornUnixMs, this->tickAt))
+        if (needsTicket && !row.advice.ticketFor(worker->info.id, worker->info.incarnationUnixMs, this->tickAt))
             continue;
         std::uint32_t siblings = countSiblings(*worker, task);
         if (step.perWorkerLimit && siblings >= step.perWorkerLimit)
             continue;
-        bool interferes
-            = step.fills ? worker->latencySensitiveCount > 0 : step.tailTarget.count() && worker->fillingCount > 0;
+        bool interferes = step.bestEffort ? worker->latencySensitiveCount > 0
+                                          : step.tailTarget.count() && worker->bestEffortCount > 0;
         bool isFar = !step.preferredRack.empty() && !hasLabel(*worker, step.preferredRack);
-        std::int64_t freeCpu = worker->facts.capacity.cpuMillis - worker->occupied.cpuMillis;
-        std::tuple rank(worker->facts.id == failedOn, interferes, isFar, step.lasting ? siblings : 0U, freeCpu);
+        std::int64_t freeCpu = worker->info.capacity.cpuMillis - worker->occupied.cpuMillis;
+        std::tuple rank(worker->info.id == failedOn, interferes, isFar, step.longRunning ? siblings : 0U, freeCpu);
         if (!best || rank < bestRank) {
             best = worker;
             bestRank = rank;
@@ -306,11 +306,11 @@
 {
     const StepSpec& step = job.record.spec.steps[task.step];
     const StepRow& row = job.occurrences[task.occurrence].steps[task.step];
-    auto queue = this->board.policies->queues.find(job.record.queue);
-    if (queue == this->board.policies->queues.end() || !row.readyAt || this->tickAt - *row.readyAt >= maxRackWait)
+    auto queue = this->tables.policies->queues.find(job.record.queue);
+    if (queue == this->tables.policies->queues.end() || !row.readyAt || this->tickAt - *row.readyAt >= maxRackWait)
         return false;
     bool isRackPresent = std::any_of(workers.begin(), workers.end(), [&step](const WorkerRow* worker) {
-        return hasLabel(*worker, step.preferredRack) && step.occupiedPerTask().fitsIn(worker->facts.capacity);
+        return hasLabel(*worker, step.preferredRack) && step.occupiedPerTask().fitsIn(worker->info.capacity);
     });
     JobObjective objective(job, queue->second);
     auto extraMs = static_cast<std::int64_t>((this->farSlowdown - 1) * static_cast<double>(step.estimate.count()));
@@ -320,11 +320,11 @@
 
 bool PlacementSystem::isWithinMaximum(const JobRow& job, const ResourceAmount& demand) const
 {
-    auto team = this->board.policies->teams.find(job.record.team);
-    if (team == this->board.policies->teams.end())
+    auto team = this->tables.policies->teams.find(job.record.team);
+    if (team == this->tables.policies->teams.end())
         return true;
     ResourceAmount use = demand;
-    if (auto found = this->board.usage.find(job.record.team); found != this->board.usage.end())
+    if (auto found = this->tables.usage.find(job.record.team); found != this->tables.usage.end())
         use += found->second;
     auto isWithin = [](std::int64_t used, std::int64_t maximum) { return !maximum || used <= maximum; };
     const ResourceAmount& maximum = team->second.maximum;
@@ -334,12 +334,12 @@
 
 void PlacementSystem::planAttempt(JobRow& job, const TaskName& task, WorkerRow& worker, std::uint32_t run)
 {
-    Attempt& attempt = this->board.beginAttempt(worker, job, task, run, AttemptPhase::Planned, this->tickAt);
+    Attempt& attempt = this->tables.beginAttempt(worker, job, task, run, AttemptPhase::Planned, this->tickAt);
     const StepRow& step = job.occurrences[task.occurrence].steps[task.step];
     attempt.checkpoint = step.tasks[task.index].checkpoint;
-    if (const Ticket* ticket = step.advice.ticketFor(worker.facts.id, worker.facts.bornUnixMs, this->tickAt))
+    if (const Ticket* ticket = step.advice.ticketFor(worker.info.id, worker.info.incarnationUnixMs, this->tickAt))
         attempt.ticket = ticket->text;
-    this->orders.push_back({ worker.facts.id, task, run });
+    this->orders.push_back({ worker.info.id, task, run });
 }
 
 } // namespace Greengage
--- a/modules/jobs/systems/PlacementSystem.h
+++ b/modules/jobs/systems/PlacementSystem.h
@@ -31,8 +31,8 @@
     static constexpr Milliseconds maxRackWait { 1500 };
 
     /// `farSlowdown` is the factor by which the run time of a task grows on a worker that is not near its data.
-    explicit PlacementSystem(JobTables& board, double farSlowdown = 2)
-        : board(board)
+    explicit PlacementSystem(JobTables& tables, double farSlowdown = 2)
+        : tables(tables)
         , farSlowdown(farSlowdown)
     {
     }
@@ -42,7 +42,7 @@
     std::vector<StartOrder> place(Instant now, std::int64_t nowUnixMs);
 
     /// Whether the worker accepts new tasks.
-    static bool takesWork(const WorkerRow&, Instant now);
+    static bool acceptsTasks(const WorkerRow&, Instant now);
 
     /// Whether the worker has the free capacity and the label for one task of the step.
     static bool canHost(const WorkerRow&, const StepSpec&);
@@ -80,7 +80,7 @@
     bool isWithinMaximum(const JobRow&, const ResourceAmount&) const;
     void planAttempt(JobRow&, const TaskName&, WorkerRow&, std::uint32_t run);
 
-    JobTables& board;
+    JobTables& tables;
     std::vector<StartOrder> orders;
     /// When the current tick began, and the time of day then.
     Instant tickAt;
--- a/modules/jobs/systems/PoolLoad.cpp
+++ b/modules/jobs/systems/PoolLoad.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-void addWaiting(PoolLoad& load, const JobTables& board, const JobRow& job, std::int64_t nowUnixMs)
+void addWaiting(PoolLoad& load, const JobTables& tables, const JobRow& job, std::int64_t nowUnixMs)
 {
     for (const auto& occurrence : job.occurrences) {
         for (std::uint32_t step = 0; step < occurrence.steps.size(); ++step) {
@@ -17,7 +17,7 @@
             if (spec.perWorkerLimit && (count || occurrence.steps[step].activeCount))
                 load.minimumWorkers
                     = std::max(load.minimumWorkers, (spec.taskCount + spec.perWorkerLimit - 1) / spec.perWorkerLimit);
-            if (!count || !board.isReady(job, occurrence, step, nowUnixMs))
+            if (!count || !tables.isReady(job, occurrence, step, nowUnixMs))
                 continue;
             const ResourceAmount& demand = spec.demand;
             load.waiting += ResourceAmount { demand.cpuMillis * count, demand.memoryMegabytes * count,
@@ -29,25 +29,25 @@
 
 } // namespace
 
-std::map<PoolId, PoolLoad> PoolLoad::measure(const JobTables& board, std::int64_t nowUnixMs)
+std::map<PoolId, PoolLoad> PoolLoad::measure(const JobTables& tables, std::int64_t nowUnixMs)
 {
     std::map<PoolId, PoolLoad> loads;
-    for (const auto& [id, worker] : board.workers) {
-        if (!worker.isListed || worker.facts.draining || worker.isEvacuating)
+    for (const auto& [id, worker] : tables.workers) {
+        if (!worker.isListed || worker.info.draining || worker.isDrainOrdered)
             continue;
-        PoolLoad& load = loads[worker.facts.pool];
+        PoolLoad& load = loads[worker.info.pool];
         load.workers += 1;
-        load.capacity += worker.facts.capacity;
+        load.capacity += worker.info.capacity;
         load.occupied += worker.occupied;
         for (const auto& [task, attempt] : worker.attempts) {
             if (attempt.isLongRunning)
-                load.lastingCpuMillis += attempt.occupied.cpuMillis;
+                load.longRunningCpuMillis += attempt.occupied.cpuMillis;
         }
     }
-    for (const auto& [id, job] : board.jobs) {
-        auto queue = board.policies->queues.find(job.record.queue);
-        if (!job.hasEnded() && queue != board.policies->queues.end())
-            addWaiting(loads[queue->second.pool], board, job, nowUnixMs);
+    for (const auto& [id, job] : tables.jobs) {
+        auto queue = tables.policies->queues.find(job.record.queue);
+        if (!job.hasEnded() && queue != tables.policies->queues.end())
+            addWaiting(loads[queue->second.pool], tables, job, nowUnixMs);
     }
     return loads;
 }
--- a/modules/jobs/systems/PoolLoad.h
+++ b/modules/jobs/systems/PoolLoad.h
@@ -16,7 +16,7 @@
     ResourceAmount capacity;
     ResourceAmount occupied;
     /// The processor time that long-running tasks occupy.
-    std::int64_t lastingCpuMillis = 0;
+    std::int64_t longRunningCpuMillis = 0;
     /// The total demand of waiting tasks that are ready to start.
     ResourceAmount waiting;
     std::size_t waitingTasks = 0;
--- a/modules/jobs/systems/PoolSizing.cpp
+++ b/modules/jobs/systems/PoolSizing.cpp
@@ -18,18 +18,18 @@
     return std::exp(-static_cast<double>(age.count()) / static_cast<double>(window.count()));
 }
 
-std::int64_t machinesFor(std::int64_t cpuMillis, std::int64_t machineCpuMillis)
+std::int64_t vmsFor(std::int64_t cpuMillis, std::int64_t vmCpuMillis)
 {
-    return (cpuMillis + machineCpuMillis - 1) / machineCpuMillis;
+    return (cpuMillis + vmCpuMillis - 1) / vmCpuMillis;
 }
 
 } // namespace
 
-void PoolSizing::noteArrival(const PoolId& pool, const JobSpec& spec, Instant now)
+void PoolSizing::recordArrival(const PoolId& pool, const JobSpec& spec, Instant now)
 {
     double work = 0;
     for (const auto& step : spec.steps) {
-        if (!step.lasting && !step.fills)
+        if (!step.longRunning && !step.bestEffort)
             work += static_cast<double>(step.taskCount) * static_cast<double>(step.demand.cpuMillis)
                 * static_cast<double>(step.estimate.count());
     }
@@ -44,19 +44,19 @@
     return found == this->arrivals.end() ? 0 : found->second.cpuMillis * decayFactor(now - found->second.at);
 }
 
-std::vector<MoveOrder> PoolSizing::advance(const std::map<VmId, VmInfo>& machines,
+std::vector<MoveOrder> PoolSizing::advance(const std::map<VmId, VmInfo>& vms,
     const std::map<PoolId, std::int64_t>& incoming, const std::set<VmId>& busy, Instant now, std::int64_t nowUnixMs)
 {
-    const auto& pools = this->board.policies->pools;
+    const auto& pools = this->tables.policies->pools;
     auto sparePool = std::find_if(pools.begin(), pools.end(), [](const auto& entry) { return entry.second.spare; });
     if (sparePool == pools.end())
         return {};
     std::vector<VmId> spare;
-    for (const auto& [id, facts] : machines) {
-        if (facts.pool == sparePool->first && facts.state == VmPhase::Up && !busy.contains(id))
+    for (const auto& [id, info] : vms) {
+        if (info.pool == sparePool->first && info.state == VmPhase::Up && !busy.contains(id))
             spare.push_back(id);
     }
-    auto needs = this->measureNeeds(machines, incoming, busy, now, nowUnixMs);
+    auto needs = this->measureNeeds(vms, incoming, busy, now, nowUnixMs);
     for (const auto& [pool, need] : needs) {
         auto [entry, isNew] = this->lastAllNeededAt.try_emplace(pool, now);
         if (need.required >= need.current)
@@ -64,62 +64,62 @@
     }
     std::vector<MoveOrder> orders;
     this->growPools(needs, spare, sparePool->first, orders);
-    this->releaseIdleMachines(needs, sparePool->first, now, orders);
+    this->releaseIdleVms(needs, sparePool->first, now, orders);
     for (const auto& order : orders) {
-        if (auto* worker = this->board.findWorker(machines.at(order.machine).worker))
-            worker->isEvacuating = true;
+        if (auto* worker = this->tables.findWorker(vms.at(order.vm).worker))
+            worker->isDrainOrdered = true;
     }
     return orders;
 }
 
-std::map<PoolId, PoolSizing::Need> PoolSizing::measureNeeds(const std::map<VmId, VmInfo>& machines,
+std::map<PoolId, PoolSizing::Need> PoolSizing::measureNeeds(const std::map<VmId, VmInfo>& vms,
     const std::map<PoolId, std::int64_t>& incoming, const std::set<VmId>& busy, Instant now,
     std::int64_t nowUnixMs) const
 {
     std::map<PoolId, std::int64_t> poolCpuMillis;
     std::map<PoolId, Need> needs;
-    for (const auto& [id, facts] : machines) {
-        auto policy = this->board.policies->pools.find(facts.pool);
-        if (policy == this->board.policies->pools.end() || policy->second.spare || facts.state != VmPhase::Up)
+    for (const auto& [id, info] : vms) {
+        auto policy = this->tables.policies->pools.find(info.pool);
+        if (policy == this->tables.policies->pools.end() || policy->second.spare || info.state != VmPhase::Up)
             continue;
-        const WorkerRow* worker = this->board.findWorker(facts.worker);
-        if (busy.contains(id) || (worker && (worker->isEvacuating || worker->facts.draining)))
+        const WorkerRow* worker = this->tables.findWorker(info.worker);
+        if (busy.contains(id) || (worker && (worker->isDrainOrdered || worker->info.draining)))
             continue;
-        Need& need = needs[facts.pool];
+        Need& need = needs[info.pool];
         need.current += 1;
-        poolCpuMillis[facts.pool] += facts.capacity.cpuMillis;
-        if (this->isIdle(facts))
+        poolCpuMillis[info.pool] += info.capacity.cpuMillis;
+        if (this->isIdle(info))
             need.idle.push_back(id);
     }
-    auto loads = PoolLoad::measure(this->board, nowUnixMs);
-    for (const auto& [id, policy] : this->board.policies->pools) {
+    auto loads = PoolLoad::measure(this->tables, nowUnixMs);
+    for (const auto& [id, policy] : this->tables.policies->pools) {
         if (policy.spare)
             continue;
         Need& need = needs[id];
-        std::int64_t machineCpuMillis = need.current ? std::max<std::int64_t>(1, poolCpuMillis[id] / need.current) : 0;
-        need.required = this->requiredMachines(id, loads[id], machineCpuMillis, now);
+        std::int64_t vmCpuMillis = need.current ? std::max<std::int64_t>(1, poolCpuMillis[id] / need.current) : 0;
+        need.required = this->requiredVms(id, loads[id], vmCpuMillis, now);
         if (auto found = incoming.find(id); found != incoming.end())
             need.current += found->second;
     }
     return needs;
 }
 
-std::int64_t PoolSizing::requiredMachines(
-    const PoolId& pool, const PoolLoad& load, std::int64_t machineCpuMillis, Instant now) const
+std::int64_t PoolSizing::requiredVms(
+    const PoolId& pool, const PoolLoad& load, std::int64_t vmCpuMillis, Instant now) const
 {
-    if (!machineCpuMillis)
-        return reserveMachines;
+    if (!vmCpuMillis)
+        return reserveVms;
     std::int64_t present = load.occupied.cpuMillis + load.waiting.cpuMillis;
     auto arriving = static_cast<std::int64_t>(this->arrivingCpuMillis(pool, now)) * arrivalMarginPercent / 100;
-    std::int64_t expected = load.lastingCpuMillis + arriving;
-    std::int64_t forWork = machinesFor(std::max(present, expected), machineCpuMillis) + reserveMachines;
+    std::int64_t expected = load.longRunningCpuMillis + arriving;
+    std::int64_t forWork = vmsFor(std::max(present, expected), vmCpuMillis) + reserveVms;
     return std::max<std::int64_t>(forWork, load.minimumWorkers + 1);
 }
 
-bool PoolSizing::isIdle(const VmInfo& machine) const
+bool PoolSizing::isIdle(const VmInfo& vm) const
 {
-    const WorkerRow* worker = this->board.findWorker(machine.worker);
-    return worker && worker->isReached && !worker->isSuspect && worker->attempts.empty() && worker->strays.empty();
+    const WorkerRow* worker = this->tables.findWorker(vm.worker);
+    return worker && worker->isReached && !worker->isSuspect && worker->attempts.empty() && worker->orphans.empty();
 }
 
 void PoolSizing::growPools(
@@ -150,7 +150,7 @@
     }
 }
 
-void PoolSizing::releaseIdleMachines(
+void PoolSizing::releaseIdleVms(
     std::map<PoolId, Need>& needs, const PoolId& sparePool, Instant now, std::vector<MoveOrder>& orders)
 {
     for (auto& [pool, need] : needs) {
--- a/modules/jobs/systems/PoolSizing.h
+++ b/modules/jobs/systems/PoolSizing.h
@@ -18,7 +18,7 @@
 
 /// A decision to move a VM to another pool.
 struct MoveOrder {
-    VmId machine;
+    VmId vm;
     PoolId from;
     PoolId to;
 };
@@ -33,23 +33,22 @@
     /// How long a pool keeps VMs that it does not need. Its need may return, and a move takes seconds.
     static constexpr Milliseconds idleRetention { 1500 };
     /// The number of VMs that each pool keeps in addition to those for its occupied and waiting demand.
-    static constexpr std::int64_t reserveMachines = 2;
+    static constexpr std::int64_t reserveVms = 2;
     /// The demand of arriving work is scaled to this percentage, since it is still rising when it is measured.
     static constexpr std::int64_t arrivalMarginPercent = 115;
 
-    explicit PoolSizing(JobTables& board)
-        : board(board)
+    explicit PoolSizing(JobTables& tables)
+        : tables(tables)
     {
     }
 
     /// Records that a job has arrived for a pool.
-    void noteArrival(const PoolId&, const JobSpec&, Instant now);
+    void recordArrival(const PoolId&, const JobSpec&, Instant now);
 
     /// Chooses the VMs to move. They are idle, and no new tasks are placed on them from then on. `incoming` counts the
     /// VMs that are on their way to each pool; VMs in `busy` are not moved.
-    std::vector<MoveOrder> advance(const std::map<VmId, VmInfo>& machines,
-        const std::map<PoolId, std::int64_t>& incoming, const std::set<VmId>& busy, Instant now,
-        std::int64_t nowUnixMs);
+    std::vector<MoveOrder> advance(const std::map<VmId, VmInfo>& vms, const std::map<PoolId, std::int64_t>& incoming,
+        const std::set<VmId>& busy, Instant now, std::int64_t nowUnixMs);
 
 private:
     struct Arrivals {
@@ -69,12 +68,12 @@
     double arrivingCpuMillis(const PoolId&, Instant now) const;
     std::map<PoolId, Need> measureNeeds(const std::map<VmId, VmInfo>&, const std::map<PoolId, std::int64_t>& incoming,
         const std::set<VmId>& busy, Instant now, std::int64_t nowUnixMs) const;
-    std::int64_t requiredMachines(const PoolId&, const PoolLoad&, std::int64_t machineCpuMillis, Instant now) const;
+    std::int64_t requiredVms(const PoolId&, const PoolLoad&, std::int64_t vmCpuMillis, Instant now) const;
     bool isIdle(const VmInfo&) const;
     void growPools(std::map<PoolId, Need>&, std::vector<VmId>& spare, const PoolId& sparePool, std::vector<MoveOrder>&);
-    void releaseIdleMachines(std::map<PoolId, Need>&, const PoolId& sparePool, Instant now, std::vector<MoveOrder>&);
+    void releaseIdleVms(std::map<PoolId, Need>&, const PoolId& sparePool, Instant now, std::vector<MoveOrder>&);
 
-    JobTables& board;
+    JobTables& tables;
     std::unordered_map<PoolId, Arrivals> arrivals;
     /// When a pool last required all of its VMs.
     std::unordered_map<PoolId, Instant> lastAllNeededAt;
--- a/modules/jobs/systems/ReportSystem.cpp
+++ b/modules/jobs/systems/ReportSystem.cpp
@@ -34,8 +34,8 @@
 void applyFigures(Attempt& attempt, const RunningAttempt& running)
 {
     attempt.checkpoint = running.checkpoint;
-    attempt.pacePercent = running.pacePercent;
-    attempt.isAtFullSpeed = running.pacePercent == fullSpeedPercent;
+    attempt.speedPercent = running.speedPercent;
+    attempt.isAtFullSpeed = running.speedPercent == fullSpeedPercent;
     attempt.load = running.load;
 }
 
@@ -50,9 +50,9 @@
     worker.clockMs = report.clockMs;
     worker.clockReadAt = now;
     for (const auto& end : report.ended) {
-        if (end.number <= worker.endsSeen)
+        if (end.number <= worker.appliedEnds)
             continue;
-        worker.endsSeen = end.number;
+        worker.appliedEnds = end.number;
         this->handleEnd(worker, end, now);
     }
     for (const auto& running : report.running)
@@ -65,52 +65,52 @@
 void ReportSystem::handleEnd(WorkerRow& worker, const EndedAttempt& end, Instant now)
 {
     this->recordEvent(eventKindOf(end.kind), end.task, end.run, worker);
-    if (auto orphan = worker.strays.find({ end.task, end.run }); orphan != worker.strays.end()) {
+    if (auto orphan = worker.orphans.find({ end.task, end.run }); orphan != worker.orphans.end()) {
         worker.occupied -= orphan->second.occupied;
-        this->board.usage[orphan->second.team] -= orphan->second.charged;
-        worker.strays.erase(orphan);
+        this->tables.usage[orphan->second.team] -= orphan->second.charged;
+        worker.orphans.erase(orphan);
     }
-    auto job = this->board.jobs.find(end.task.job);
-    bool isOpen = job != this->board.jobs.end() && !job->second.hasEnded();
+    auto job = this->tables.jobs.find(end.task.job);
+    bool isOpen = job != this->tables.jobs.end() && !job->second.hasEnded();
     if (end.kind == EndKind::Done) {
         worker.consecutiveFailures = 0;
         if (isOpen)
             this->handleDone(worker, end);
     } else if (end.kind == EndKind::Failed) {
         worker.consecutiveFailures += 1;
-        if (worker.consecutiveFailures >= failuresBeforeSetAside)
-            worker.setAsideUntil = Deadline::after(now, setAsideFor);
+        if (worker.consecutiveFailures >= failuresBeforeQuarantine)
+            worker.quarantinedUntil = Deadline::after(now, quarantineDuration);
         if (isOpen)
-            this->board.countFailure(job->second, end.task, end.run, worker.facts.id);
+            this->tables.countFailure(job->second, end.task, end.run, worker.info.id);
     }
     auto attempt = worker.attempts.find(end.task);
     if (attempt == worker.attempts.end() || attempt->second.run != end.run)
         return;
     if (!end.checkpoint.empty())
         attempt->second.checkpoint = end.checkpoint;
-    this->board.releaseAttempt(worker, end.task);
+    this->tables.releaseAttempt(worker, end.task);
 }
 
 void ReportSystem::handleDone(WorkerRow& worker, const EndedAttempt& end)
 {
-    TaskRow* row = this->board.findTask(end.task);
+    TaskRow* row = this->tables.findTask(end.task);
     if (!row || row->phase == TaskPhase::Done)
         return;
-    JobRow& job = this->board.jobs.at(end.task.job);
+    JobRow& job = this->tables.jobs.at(end.task.job);
     // An attempt of the task on another worker, or with another number, is no longer needed.
-    if (row->phase == TaskPhase::Active && (row->worker != worker.facts.id || row->run != end.run)) {
-        if (auto* other = this->board.findWorker(row->worker); other && other->attempts.contains(end.task))
+    if (row->phase == TaskPhase::Active && (row->worker != worker.info.id || row->run != end.run)) {
+        if (auto* other = this->tables.findWorker(row->worker); other && other->attempts.contains(end.task))
             other->attempts.at(end.task).phase = AttemptPhase::Stopping;
     }
-    this->board.markUnrecorded(job);
+    this->tables.markUnsaved(job);
     if (!job.record.spec.steps[end.task.step].gang) {
-        this->board.finishTask(job, end.task);
+        this->tables.finishTask(job, end.task);
         return;
     }
     // The members of a gang end together, so the end of one finishes all of them.
     auto count = static_cast<std::uint32_t>(job.occurrences[end.task.occurrence].steps[end.task.step].tasks.size());
     for (std::uint32_t index = 0; index < count; ++index)
-        this->board.finishTask(job, { end.task.job, end.task.occurrence, end.task.step, index });
+        this->tables.finishTask(job, { end.task.job, end.task.occurrence, end.task.step, index });
 }
 
 void ReportSystem::handleRunning(WorkerRow& worker, const RunningAttempt& running, Instant now)
@@ -125,7 +125,7 @@
         applyFigures(attempt, running);
         return;
     }
-    if (auto orphan = worker.strays.find({ running.task, running.run }); orphan != worker.strays.end()) {
+    if (auto orphan = worker.orphans.find({ running.task, running.run }); orphan != worker.orphans.end()) {
         orphan->second.confirmedAt = now;
         return;
     }
@@ -135,16 +135,16 @@
 
 bool ReportSystem::adopt(WorkerRow& worker, const RunningAttempt& running, Instant now)
 {
-    TaskRow* row = this->board.findTask(running.task);
+    TaskRow* row = this->tables.findTask(running.task);
     if (!row || row->phase != TaskPhase::Waiting || worker.attempts.contains(running.task))
         return false;
-    JobRow& job = this->board.jobs.at(running.task.job);
+    JobRow& job = this->tables.jobs.at(running.task.job);
     if (job.hasEnded())
         return false;
-    Attempt& attempt = this->board.beginAttempt(worker, job, running.task, running.run, AttemptPhase::Running, now);
+    Attempt& attempt = this->tables.beginAttempt(worker, job, running.task, running.run, AttemptPhase::Running, now);
     attempt.isAnswered = true;
     applyFigures(attempt, running);
-    attempt.wantedPace = running.pacePercent;
+    attempt.wantedSpeedPercent = running.speedPercent;
     this->recordEvent(AttemptEventKind::Adopted, running.task, running.run, worker);
     return true;
 }
@@ -157,14 +157,14 @@
     orphan.phase = AttemptPhase::Stopping;
     orphan.isAnswered = true;
     orphan.confirmedAt = now;
-    if (const StepSpec* step = this->board.findStep(running.task)) {
-        orphan.team = this->board.jobs.at(running.task.job).record.team;
+    if (const StepSpec* step = this->tables.findStep(running.task)) {
+        orphan.team = this->tables.jobs.at(running.task.job).record.team;
         orphan.charged = step->demand;
         orphan.occupied = step->occupiedPerTask();
         worker.occupied += orphan.occupied;
-        this->board.usage[orphan.team] += orphan.charged;
+        this->tables.usage[orphan.team] += orphan.charged;
     }
-    worker.strays.emplace(std::pair(running.task, running.run), orphan);
+    worker.orphans.emplace(std::pair(running.task, running.run), orphan);
     this->recordEvent(AttemptEventKind::Unwanted, running.task, running.run, worker);
 }
 
@@ -173,7 +173,7 @@
     std::set<std::pair<TaskName, std::uint32_t>> listed;
     for (const auto& running : report.running)
         listed.emplace(running.task, running.run);
-    // A report says nothing about an attempt that was confirmed after the question was sent, or whose start order may
+    // A report says nothing about an attempt that was confirmed after the request was sent, or whose start order may
     // still arrive.
     auto isLost = [&](const Attempt& attempt) {
         bool mayStillStart = !attempt.isAnswered && !attempt.orderExpires.hasPassed(sentAt);
@@ -187,20 +187,20 @@
     }
     for (const auto& task : lost) {
         this->recordEvent(AttemptEventKind::Lost, task, worker.attempts.at(task).run, worker);
-        this->board.releaseAttempt(worker, task);
+        this->tables.releaseAttempt(worker, task);
     }
-    std::erase_if(worker.strays, [&](const auto& entry) {
+    std::erase_if(worker.orphans, [&](const auto& entry) {
         if (!isLost(entry.second))
             return false;
         worker.occupied -= entry.second.occupied;
-        this->board.usage[entry.second.team] -= entry.second.charged;
+        this->tables.usage[entry.second.team] -= entry.second.charged;
         return true;
     });
 }
 
 void ReportSystem::recordEvent(AttemptEventKind kind, const TaskName& task, std::uint32_t run, const WorkerRow& worker)
 {
-    this->events.push_back({ kind, task, run, worker.facts.id });
+    this->events.push_back({ kind, task, run, worker.info.id });
 }
 
 } // namespace Greengage
--- a/modules/jobs/systems/ReportSystem.h
+++ b/modules/jobs/systems/ReportSystem.h
@@ -17,17 +17,17 @@
 /// Updates the job tables from the reports of workers.
 class ReportSystem {
 public:
-    /// Consecutive failed attempts after which a worker is set aside: it gets no new attempts for a while.
-    static constexpr std::uint32_t failuresBeforeSetAside = 2;
-    /// How long a worker is set aside.
-    static constexpr Milliseconds setAsideFor { 4000 };
+    /// Consecutive failed attempts after which a worker is quarantined: it gets no new attempts for a while.
+    static constexpr std::uint32_t failuresBeforeQuarantine = 2;
+    /// How long a worker is quarantined.
+    static constexpr Milliseconds quarantineDuration { 4000 };
 
-    explicit ReportSystem(JobTables& board)
-        : board(board)
+    explicit ReportSystem(JobTables& tables)
+        : tables(tables)
     {
     }
 
-    /// Applies a report that answers a question sent at `sentAt`. Returns the changes that it contains.
+    /// Applies a report that answers a request sent at `sentAt`. Returns the changes that it contains.
     std::vector<AttemptEvent> apply(WorkerRow&, const WorkerReport&, Instant sentAt, Instant now);
 
 private:
@@ -39,7 +39,7 @@
     void releaseUnlisted(WorkerRow&, const WorkerReport&, Instant sentAt);
     void recordEvent(AttemptEventKind, const TaskName&, std::uint32_t run, const WorkerRow&);
 
-    JobTables& board;
+    JobTables& tables;
     std::vector<AttemptEvent> events;
 };
 
--- a/modules/jobs/systems/ThrottleSystem.cpp
+++ b/modules/jobs/systems/ThrottleSystem.cpp
@@ -8,8 +8,8 @@
 
 void ThrottleSystem::advance(Instant now)
 {
-    for (auto& [id, worker] : this->board.workers) {
-        if (worker.fillingCount && worker.isReached)
+    for (auto& [id, worker] : this->tables.workers) {
+        if (worker.bestEffortCount && worker.isReached)
             ThrottleSystem::updateSpeeds(worker, ThrottleSystem::worstLoadPercent(worker), now);
     }
 }
@@ -29,9 +29,9 @@
 {
     constexpr int fullTargetPercent = 100;
     for (auto& [task, attempt] : worker.attempts) {
-        if (!attempt.fills || attempt.phase != AttemptPhase::Running)
+        if (!attempt.isBestEffort || attempt.phase != AttemptPhase::Running)
             continue;
-        int wanted = attempt.wantedPace;
+        int wanted = attempt.wantedSpeedPercent;
         if (worstLoadPercent > fullTargetPercent)
             wanted = 0;
         else if (!attempt.nextSpeedChange.hasPassed(now))
@@ -40,9 +40,9 @@
             wanted = std::max(0, wanted - speedStepPercent);
         else if (worstLoadPercent < recoverBelowPercent)
             wanted = std::min(fullSpeedPercent, wanted + speedStepPercent);
-        if (wanted == attempt.wantedPace)
+        if (wanted == attempt.wantedSpeedPercent)
             continue;
-        attempt.wantedPace = wanted;
+        attempt.wantedSpeedPercent = wanted;
         attempt.nextSpeedChange = Deadline::after(now, settlingTime);
     }
 }
--- a/modules/jobs/systems/ThrottleSystem.h
+++ b/modules/jobs/systems/ThrottleSystem.h
@@ -23,8 +23,8 @@
     static constexpr Milliseconds settlingTime { 1500 };
     static constexpr int fullSpeedPercent = 100;
 
-    explicit ThrottleSystem(JobTables& board)
-        : board(board)
+    explicit ThrottleSystem(JobTables& tables)
+        : tables(tables)
     {
     }
 
@@ -36,7 +36,7 @@
     static int worstLoadPercent(const WorkerRow&);
     static void updateSpeeds(WorkerRow&, int worstLoadPercent, Instant now);
 
-    JobTables& board;
+    JobTables& tables;
 };
 
 } // namespace Greengage
--- a/modules/jobs/tables/Attempt.h
+++ b/modules/jobs/tables/Attempt.h
@@ -49,7 +49,7 @@
     Instant orderedAt;
     /// The time from which the worker refuses the start order as too late.
     Deadline orderExpires;
-    /// When the attempt was last known to run. Reports that answer an earlier question say nothing about it.
+    /// When the attempt was last known to run. Reports that answer an earlier request say nothing about it.
     Instant confirmedAt;
     /// Whether this leader or an earlier one may have sent a start order.
     bool mayHaveBeenSent() const
@@ -59,27 +59,28 @@
 
     /// Whether the worker is known to have carried out the start order.
     bool isAnswered = false;
-    bool fills = false;
+    bool isBestEffort = false;
     /// Target for the tail of the response times; zero if the attempt is not latency-sensitive.
     Milliseconds tailTarget { 0 };
     bool isLatencySensitive() const { return this->tailTarget.count() > 0; }
 
     bool isLongRunning = false;
     /// A stop order has been sent and its answer is pending.
-    bool stopUnderWay = false;
+    bool isStopOrderPending = false;
     /// The earliest time of the next stop order.
-    Deadline nextStop;
+    Deadline nextStopOrder;
     std::string checkpoint;
     /// Sent with the start order if tasks of the queue need a ticket.
     std::string ticket;
     /// The speed that the worker last reported, in percent of full speed.
-    int pacePercent = 100;
+    int speedPercent = 100;
     /// The speed that the attempt should have, in percent of full speed.
-    int wantedPace = 100;
-    /// The earliest time of the next change of `wantedPace`, unless a latency-sensitive task exceeds its target.
+    int wantedSpeedPercent = 100;
+    /// The earliest time of the next change of `wantedSpeedPercent`, unless a latency-sensitive task exceeds its
+    /// target.
     Deadline nextSpeedChange;
     /// An order to change the speed has been sent and its answer is pending.
-    bool paceUnderWay = false;
+    bool isSpeedOrderPending = false;
     /// Whether a long-running task has finished starting and is not throttled, by the latest report.
     bool isAtFullSpeed = false;
     std::int64_t load = 0;
--- a/modules/jobs/tables/JobTables.cpp
+++ b/modules/jobs/tables/JobTables.cpp
@@ -24,7 +24,7 @@
 
 bool JobTables::addJob(JobRecord record, const JobProgress& progress)
 {
-    if (this->forgotten.contains(record.id))
+    if (this->removedJobs.contains(record.id))
         return false;
     auto [entry, added] = this->jobs.try_emplace(record.id);
     if (!added)
@@ -47,7 +47,7 @@
     if (job.hasEnded())
         return;
     job.state = state;
-    this->markUnrecorded(job);
+    this->markUnsaved(job);
     this->forEachAttempt(job, [this](WorkerRow& worker, Attempt& attempt) {
         if (attempt.mayHaveBeenSent())
             attempt.phase = AttemptPhase::Stopping;
@@ -56,7 +56,7 @@
     });
 }
 
-void JobTables::forgetJob(JobId id)
+void JobTables::removeJob(JobId id)
 {
     auto found = this->jobs.find(id);
     if (found == this->jobs.end())
@@ -71,14 +71,14 @@
                 orphan.phase = AttemptPhase::Stopping;
                 worker.occupied += orphan.occupied;
                 this->usage[orphan.team] += orphan.charged;
-                worker.strays.emplace(std::pair(orphan.task, orphan.run), orphan);
+                worker.orphans.emplace(std::pair(orphan.task, orphan.run), orphan);
                 attempt = next;
             }
         }
     }
     this->jobs.erase(id);
-    this->unrecorded.erase(id);
-    this->forgotten.insert(std::move(id));
+    this->unsavedJobs.erase(id);
+    this->removedJobs.insert(std::move(id));
 }
 
 TaskRow* JobTables::findTask(const TaskName& task)
@@ -121,7 +121,7 @@
     return std::all_of(after.begin(), after.end(), [&](auto earlier) { return occurrence.steps[earlier].isDone(); });
 }
 
-void JobTables::inherit(JobRow& job, const std::map<TaskName, TaskPlacement>& placements, Instant now)
+void JobTables::restorePlacements(JobRow& job, const std::map<TaskName, TaskPlacement>& placements, Instant now)
 {
     for (const auto& [task, placement] : placements) {
         TaskRow* row = this->findTask(task);
@@ -142,7 +142,7 @@
     const StepSpec& step = job.record.spec.steps[task.step];
     TaskRow& row = *this->findTask(task);
     row.phase = TaskPhase::Active;
-    row.worker = worker.facts.id;
+    row.worker = worker.info.id;
     row.run = run;
     this->stepRow(job, task).activeCount += 1;
     job.activeTasks += 1;
@@ -151,14 +151,14 @@
     attempt.run = run;
     attempt.phase = phase;
     if (attempt.mayHaveBeenSent())
-        this->noteStarted(job);
+        this->recordStart(job);
     attempt.team = job.record.team;
     attempt.charged = step.demand;
     attempt.occupied = step.occupiedPerTask();
-    attempt.fills = step.fills;
+    attempt.isBestEffort = step.bestEffort;
     attempt.tailTarget = step.tailTarget;
-    attempt.isLongRunning = step.lasting;
-    worker.fillingCount += attempt.fills ? 1 : 0;
+    attempt.isLongRunning = step.longRunning;
+    worker.bestEffortCount += attempt.isBestEffort ? 1 : 0;
     worker.latencySensitiveCount += attempt.isLatencySensitive() ? 1 : 0;
     attempt.orderedAt = now;
     attempt.confirmedAt = now;
@@ -167,7 +167,7 @@
     return worker.attempts[task] = attempt;
 }
 
-void JobTables::noteStarted(JobRow& job)
+void JobTables::recordStart(JobRow& job)
 {
     job.hasStarted = true;
     if (job.state == JobState::Waiting)
@@ -181,11 +181,11 @@
         return;
     const Attempt& attempt = found->second;
     worker.occupied -= attempt.occupied;
-    worker.fillingCount -= attempt.fills ? 1 : 0;
+    worker.bestEffortCount -= attempt.isBestEffort ? 1 : 0;
     worker.latencySensitiveCount -= attempt.isLatencySensitive() ? 1 : 0;
     this->usage[attempt.team] -= attempt.charged;
     TaskRow* row = this->findTask(task);
-    if (row && row->phase == TaskPhase::Active && row->worker == worker.facts.id && row->run == attempt.run) {
+    if (row && row->phase == TaskPhase::Active && row->worker == worker.info.id && row->run == attempt.run) {
         JobRow& job = this->jobs.at(task.job);
         row->phase = TaskPhase::Waiting;
         row->checkpoint = attempt.checkpoint.empty() ? row->checkpoint : attempt.checkpoint;
@@ -227,18 +227,18 @@
 void JobTables::countFailure(JobRow& job, const TaskName& task, std::uint32_t run, const WorkerId& worker)
 {
     TaskRow* row = this->findTask(task);
-    if (!row || row->phase == TaskPhase::Done || job.record.spec.steps[task.step].lasting)
+    if (!row || row->phase == TaskPhase::Done || job.record.spec.steps[task.step].longRunning)
         return;
     if (!row->failedRuns.insert(run).second)
         return;
     row->failedOn = worker;
-    this->markUnrecorded(job);
+    this->markUnsaved(job);
     auto queue = this->policies->queues.find(job.record.queue);
     if (queue != this->policies->queues.end() && row->failedRuns.size() >= queue->second.maxAttempts)
         this->endJob(job, JobState::Failed);
 }
 
-void JobTables::markUnrecorded(JobRow& job) { this->unrecorded.insert(job.record.id); }
+void JobTables::markUnsaved(JobRow& job) { this->unsavedJobs.insert(job.record.id); }
 
 void JobTables::clearWorker(WorkerRow& worker)
 {
@@ -246,12 +246,12 @@
         TaskName task = worker.attempts.begin()->first;
         this->releaseAttempt(worker, task);
     }
-    for (const auto& [key, orphan] : worker.strays)
+    for (const auto& [key, orphan] : worker.orphans)
         this->usage[orphan.team] -= orphan.charged;
-    worker.strays.clear();
+    worker.orphans.clear();
     worker.occupied = {};
-    worker.endsSeen = 0;
-    worker.endsRecorded = 0;
+    worker.appliedEnds = 0;
+    worker.storedEnds = 0;
     worker.isReached = false;
 }
 
--- a/modules/jobs/tables/JobTables.h
+++ b/modules/jobs/tables/JobTables.h
@@ -20,15 +20,15 @@
     std::unordered_map<WorkerId, WorkerRow> workers;
     std::shared_ptr<const JobPolicies> policies = std::make_shared<JobPolicies>();
     /// Jobs whose stored progress is out of date, or that have ended and are still stored as open.
-    std::set<JobId> unrecorded;
+    std::set<JobId> unsavedJobs;
     /// Jobs that ended and were removed. A store listing whose answer is delayed may still contain them as open.
-    std::set<JobId> forgotten;
+    std::set<JobId> removedJobs;
     /// The resources that each team has in use on workers.
     std::unordered_map<TeamId, ResourceAmount> usage;
     /// Attempt numbers below this one may have been used by an earlier leader.
     std::uint32_t lowestRun = 1;
     /// Until then, a worker that has not been reached may still run attempts that an earlier leader started.
-    Deadline inheritedLeasesOver;
+    Deadline inheritedLeasesExpire;
 
     /// Adds a job. Returns false if the tables have it already or it has ended.
     bool addJob(JobRecord, const JobProgress&);
@@ -38,7 +38,7 @@
 
     /// Removes a job that has ended and is stored as ended. Attempts of it that still run become orphaned attempts of
     /// their workers. The id is passed by value, since callers often pass the id in the row that is erased.
-    void forgetJob(JobId);
+    void removeJob(JobId);
 
     /// Returns the row of the task, or null if the job is not in the tables or has no such task.
     TaskRow* findTask(const TaskName&);
@@ -51,13 +51,13 @@
 
     /// Restores the placements that an earlier leader stored, for workers that are still known. Each such task counts
     /// as started until its worker reports otherwise or the worker's lease has expired.
-    void inherit(JobRow&, const std::map<TaskName, TaskPlacement>&, Instant now);
+    void restorePlacements(JobRow&, const std::map<TaskName, TaskPlacement>&, Instant now);
 
     /// Adds an attempt of a waiting task on a worker.
     Attempt& beginAttempt(WorkerRow&, JobRow&, const TaskName&, std::uint32_t run, AttemptPhase, Instant now);
 
     /// Records that this leader or an earlier one has sent an order to start a task of the job.
-    void noteStarted(JobRow&);
+    void recordStart(JobRow&);
 
     /// Removes an attempt. Its task waits again unless it is done.
     void releaseAttempt(WorkerRow&, const TaskName&);
@@ -73,7 +73,7 @@
     void countFailure(JobRow&, const TaskName&, std::uint32_t run, const WorkerId&);
 
     /// Marks the stored progress of the job as out of date.
-    void markUnrecorded(JobRow&);
+    void markUnsaved(JobRow&);
 
     /// Releases all attempts of a worker whose incarnation has ended, and resets its record of reported ends.
     void clearWorker(WorkerRow&);
--- a/modules/jobs/tables/StepAdvice.h
+++ b/modules/jobs/tables/StepAdvice.h
@@ -14,7 +14,7 @@
 struct Ticket {
     std::string text;
     /// The incarnation of the worker for which the ticket was issued.
-    std::int64_t bornUnixMs = 0;
+    std::int64_t incarnationUnixMs = 0;
     Deadline validUntil;
 };
 
@@ -23,14 +23,14 @@
     std::map<WorkerId, Ticket> tickets;
     std::set<WorkerId> unfit;
     bool isRequestPending = false;
-    /// The earliest time of the next question for this step.
+    /// The earliest time of the next request for this step.
     Deadline nextRequest;
 
     /// Returns the ticket for this incarnation of the worker if it is still valid, otherwise null.
-    const Ticket* ticketFor(const WorkerId& worker, std::int64_t bornUnixMs, Instant now) const
+    const Ticket* ticketFor(const WorkerId& worker, std::int64_t incarnationUnixMs, Instant now) const
     {
         auto found = this->tickets.find(worker);
-        bool isValid = found != this->tickets.end() && found->second.bornUnixMs == bornUnixMs
+        bool isValid = found != this->tickets.end() && found->second.incarnationUnixMs == incarnationUnixMs
             && !found->second.validUntil.hasPassed(now);
         return isValid ? &found->second : nullptr;
     }
--- a/modules/jobs/tables/WorkerRow.h
+++ b/modules/jobs/tables/WorkerRow.h
@@ -12,35 +12,35 @@
 
 /// The state of one incarnation of a worker.
 struct WorkerRow {
-    WorkerInfo facts;
+    WorkerInfo info;
     /// Whether the directory lists the worker.
     bool isListed = true;
     /// Whether the worker is on the stored worker roster.
-    bool isRecorded = false;
+    bool isOnRoster = false;
     /// Whether the worker has answered under the current fencing token, so that all attempts on it are known.
     bool isReached = false;
     /// The resources that its attempts occupy in total.
     ResourceAmount occupied;
-    std::uint32_t fillingCount = 0;
+    std::uint32_t bestEffortCount = 0;
     std::uint32_t latencySensitiveCount = 0;
     std::map<TaskName, Attempt> attempts;
     /// Orphaned attempts: they run on the worker but are not in the tables, so the worker has to stop them.
-    std::map<std::pair<TaskName, std::uint32_t>, Attempt> strays;
+    std::map<std::pair<TaskName, std::uint32_t>, Attempt> orphans;
     /// Reported ends with numbers up to this one have been applied.
-    std::uint64_t endsSeen = 0;
+    std::uint64_t appliedEnds = 0;
     /// Reported ends with numbers up to this one are stored, so the worker may discard them.
-    std::uint64_t endsRecorded = 0;
+    std::uint64_t storedEnds = 0;
     /// When all attempts on the worker have ended, unless its lease is renewed.
-    Deadline leaseOver;
+    Deadline leaseExpires;
     Instant lastReport;
     /// No new attempts are placed on the worker until then.
-    Deadline setAsideUntil;
+    Deadline quarantinedUntil;
     /// Failed attempts on the worker since the last one that was done.
     std::uint32_t consecutiveFailures = 0;
     /// A call to the worker got no answer. No attempt starts on it until it reports again.
     bool isSuspect = false;
     /// The VM is being drained: no attempt starts on it, and long-running tasks move away.
-    bool isEvacuating = false;
+    bool isDrainOrdered = false;
     /// The worker's clock at `clockReadAt`, in milliseconds.
     std::int64_t clockMs = 0;
     Instant clockReadAt;
--- a/modules/jobs/tests/AdviceTests.cpp
+++ b/modules/jobs/tests/AdviceTests.cpp
@@ -14,14 +14,14 @@
             = AdvicePolicy { Milliseconds(20), Milliseconds(2), Milliseconds(3000) };
     }
 
-    std::optional<AdviceRequest> question() { return this->system.nextQuestion(this->now, this->unixMs); }
+    std::optional<AdviceRequest> request() { return this->system.nextRequest(this->now, this->unixMs); }
 
-    void answer(const AdviceRequest& question, std::map<WorkerId, std::string> fit)
+    void answer(const AdviceRequest& request, std::map<WorkerId, std::string> tickets)
     {
-        this->system.take(question, { std::move(fit), Milliseconds(3000) }, this->now);
+        this->system.handleAnswer(request, { std::move(tickets), Milliseconds(3000) }, this->now);
     }
 
-    AdviceSystem system { this->board };
+    AdviceSystem system { this->tables };
 };
 
 } // namespace
@@ -34,53 +34,53 @@
     this->addWorker("w2");
     this->addJob("j", { step(1, 1000) }, "advised");
     BOOST_TEST(this->place().empty());
-    auto asked = this->question();
+    auto asked = this->request();
     BOOST_REQUIRE(asked.has_value());
     BOOST_TEST(asked->workers.size() == 2U);
-    BOOST_TEST((asked->takes == Milliseconds(24)));
+    BOOST_TEST((asked->expectedDuration == Milliseconds(24)));
     this->answer(*asked, { { WorkerId("w2"), "t" } });
     // A ticket for another incarnation of the worker is not used.
-    this->board.workers.at(WorkerId("w2")).facts.bornUnixMs = 7;
+    this->tables.workers.at(WorkerId("w2")).info.incarnationUnixMs = 7;
     BOOST_TEST(this->place().empty());
-    this->board.workers.at(WorkerId("w2")).facts.bornUnixMs = 0;
+    this->tables.workers.at(WorkerId("w2")).info.incarnationUnixMs = 0;
     auto orders = this->place();
     BOOST_REQUIRE(orders.size() == 1U);
     BOOST_TEST((orders.front().worker == WorkerId("w2")));
-    BOOST_TEST(this->board.workers.at(WorkerId("w2")).attempts.at(orders.front().task).ticket == "t");
+    BOOST_TEST(this->tables.workers.at(WorkerId("w2")).attempts.at(orders.front().task).ticket == "t");
 }
 
 BOOST_AUTO_TEST_CASE(theServiceIsAskedAgainAfterATicketExpiresOrIsRefused)
 {
     this->addWorker("w1", "north", 1000);
     this->addJob("j", { step(1, 1000) }, "advised");
-    auto asked = this->question();
+    auto asked = this->request();
     BOOST_REQUIRE(asked.has_value());
-    BOOST_TEST(!this->question().has_value());
+    BOOST_TEST(!this->request().has_value());
     this->answer(*asked, { { WorkerId("w1"), "t" } });
     this->advance(Milliseconds(2800));
     BOOST_TEST(this->place().empty());
-    asked = this->question();
+    asked = this->request();
     BOOST_REQUIRE(asked.has_value());
     this->answer(*asked, { { WorkerId("w1"), "t2" } });
-    this->board.dropTicket(task("j", 0, 0), WorkerId("w1"));
+    this->tables.dropTicket(task("j", 0, 0), WorkerId("w1"));
     BOOST_TEST(this->place().empty());
-    BOOST_TEST(this->question().has_value());
+    BOOST_TEST(this->request().has_value());
 }
 
 BOOST_AUTO_TEST_CASE(theServiceIsNotAskedAgainAboutUnfitWorkers)
 {
     this->addWorker("w1");
     this->addJob("j", { step(1, 1000) }, "advised");
-    this->answer(*this->question(), {});
-    BOOST_TEST(!this->question().has_value());
+    this->answer(*this->request(), {});
+    BOOST_TEST(!this->request().has_value());
     this->addWorker("w2");
-    auto asked = this->question();
+    auto asked = this->request();
     BOOST_REQUIRE(asked.has_value());
     BOOST_TEST((asked->workers == std::vector<WorkerId> { WorkerId("w2") }));
-    this->system.fail(*asked, this->now);
-    BOOST_TEST(!this->question().has_value());
+    this->system.handleFailure(*asked, this->now);
+    BOOST_TEST(!this->request().has_value());
     this->advance(AdviceSystem::retryDelay);
-    BOOST_TEST(this->question().has_value());
+    BOOST_TEST(this->request().has_value());
 }
 
 /// Jobs arrive faster than the service answers.
@@ -92,7 +92,7 @@
     this->addJob("relaxed", { step(1, 1000, Milliseconds(5000)) }, "advised");
     this->addJob("urgent", { step(1, 1000, Milliseconds(100)) }, "advised");
     std::vector<JobId> order;
-    while (auto asked = this->question())
+    while (auto asked = this->request())
         order.push_back(asked->step.job);
     BOOST_TEST((order == std::vector<JobId> { JobId("urgent"), JobId("relaxed"), JobId("late") }));
 }
--- a/modules/jobs/tests/JobTablesFixture.h
+++ b/modules/jobs/tests/JobTablesFixture.h
@@ -20,7 +20,7 @@
         this->addQueue("quick", "north", 0);
         this->addQueue("careful", "north", 1);
         this->addQueue("distant", "south", 0);
-        this->board.policies = this->policies;
+        this->tables.policies = this->policies;
     }
 
     void addQueue(const char* id, const char* pool, int priority)
@@ -42,14 +42,14 @@
 
     WorkerRow& addWorker(const std::string& id, const char* pool = "north", std::int64_t cpuMillis = 8000)
     {
-        WorkerRow& worker = this->board.workers[WorkerId(id)];
-        worker.facts.id = WorkerId(id);
-        worker.facts.pool = PoolId(pool);
-        worker.facts.capacity = { cpuMillis, 64'000, 0 };
-        worker.facts.labels = { "a", "rack-1" };
-        worker.facts.rack = "rack-1";
+        WorkerRow& worker = this->tables.workers[WorkerId(id)];
+        worker.info.id = WorkerId(id);
+        worker.info.pool = PoolId(pool);
+        worker.info.capacity = { cpuMillis, 64'000, 0 };
+        worker.info.labels = { "a", "rack-1" };
+        worker.info.rack = "rack-1";
         worker.isReached = true;
-        worker.isRecorded = true;
+        worker.isOnRoster = true;
         worker.lastReport = this->now;
         return worker;
     }
@@ -73,20 +73,20 @@
         record.receivedUnixMs = this->unixMs;
         record.spec.payload = "payload of " + id;
         record.spec.steps = std::move(steps);
-        this->board.addJob(std::move(record), progress);
-        return this->board.jobs.at(JobId(id));
+        this->tables.addJob(std::move(record), progress);
+        return this->tables.jobs.at(JobId(id));
     }
 
-    std::vector<StartOrder> place() { return PlacementSystem(this->board).place(this->now, this->unixMs); }
+    std::vector<StartOrder> place() { return PlacementSystem(this->tables).place(this->now, this->unixMs); }
 
     /// Places all tasks that can be placed, and has each worker accept its order.
     std::vector<StartOrder> placeAndRun()
     {
         auto orders = this->place();
         for (const auto& order : orders) {
-            Attempt& attempt = this->board.workers.at(order.worker).attempts.at(order.task);
+            Attempt& attempt = this->tables.workers.at(order.worker).attempts.at(order.task);
             attempt.phase = AttemptPhase::Running;
-            this->board.noteStarted(this->board.jobs.at(order.task.job));
+            this->tables.recordStart(this->tables.jobs.at(order.task.job));
             attempt.isAnswered = true;
             attempt.isAtFullSpeed = true;
             attempt.confirmedAt = this->now;
@@ -108,17 +108,17 @@
         this->advance(Milliseconds(10));
         Instant sentAt = this->now;
         this->advance(Milliseconds(10));
-        return ReportSystem(this->board).apply(worker, report, sentAt, this->now);
+        return ReportSystem(this->tables).apply(worker, report, sentAt, this->now);
     }
 
     /// Has the worker report that a task ended.
     std::vector<AttemptEvent> end(const TaskName& task, EndKind kind, const std::string& checkpoint = {})
     {
-        WorkerRow& worker = this->board.workers.at(this->board.findTask(task)->worker);
+        WorkerRow& worker = this->tables.workers.at(this->tables.findTask(task)->worker);
         auto report = this->fullReport(worker);
         std::uint32_t run = worker.attempts.at(task).run;
         std::erase_if(report.running, [&](const RunningAttempt& running) { return running.task == task; });
-        report.ended.push_back({ worker.endsSeen + 1, task, run, kind, checkpoint });
+        report.ended.push_back({ worker.appliedEnds + 1, task, run, kind, checkpoint });
         return this->report(worker, report);
     }
 
@@ -129,7 +129,7 @@
     }
 
     std::shared_ptr<JobPolicies> policies = std::make_shared<JobPolicies>();
-    JobTables board;
+    JobTables tables;
     Instant now { Seconds(1000) };
     std::int64_t unixMs = startUnixMs;
 };
--- a/modules/jobs/tests/JobTablesTests.cpp
+++ b/modules/jobs/tests/JobTablesTests.cpp
@@ -30,9 +30,9 @@
     BOOST_TEST((job.state == JobState::Running));
     this->end(task("j", 0, 1), EndKind::Done);
     BOOST_TEST((job.state == JobState::Completed));
-    BOOST_TEST(this->board.unrecorded.contains(JobId("j")));
-    BOOST_TEST(this->board.usage[TeamId("bakers")].cpuMillis == 0);
-    BOOST_TEST(this->board.workers.at(WorkerId("w1")).occupied.cpuMillis == 0);
+    BOOST_TEST(this->tables.unsavedJobs.contains(JobId("j")));
+    BOOST_TEST(this->tables.usage[TeamId("bakers")].cpuMillis == 0);
+    BOOST_TEST(this->tables.workers.at(WorkerId("w1")).occupied.cpuMillis == 0);
 }
 
 BOOST_AUTO_TEST_CASE(aTaskThatFailsTooOftenFailsItsJobAndStopsTheOthers)
@@ -44,12 +44,12 @@
     for (int failure = 0; failure < 3; ++failure) {
         BOOST_TEST((job.state == JobState::Running));
         this->end(task("j", 0, 0), EndKind::Failed);
-        this->advance(ReportSystem::setAsideFor);
+        this->advance(ReportSystem::quarantineDuration);
         this->placeAndRun();
     }
     BOOST_TEST((job.state == JobState::Failed));
-    const TaskRow& other = *this->board.findTask(task("j", 0, 1));
-    const Attempt& attempt = this->board.findWorker(other.worker)->attempts.at(task("j", 0, 1));
+    const TaskRow& other = *this->tables.findTask(task("j", 0, 1));
+    const Attempt& attempt = this->tables.findWorker(other.worker)->attempts.at(task("j", 0, 1));
     BOOST_TEST((attempt.phase == AttemptPhase::Stopping));
 }
 
@@ -60,11 +60,11 @@
     this->placeAndRun();
     this->end(task("j", 0, 0), EndKind::Failed);
     // A new leader has not applied the end yet, and the worker reports it again.
-    worker.endsSeen = 0;
+    worker.appliedEnds = 0;
     WorkerReport again;
     again.ended.push_back({ 1, task("j", 0, 0), 1, EndKind::Failed, {} });
     this->report(worker, again);
-    BOOST_TEST(this->board.findTask(task("j", 0, 0))->failedRuns.size() == 1U);
+    BOOST_TEST(this->tables.findTask(task("j", 0, 0))->failedRuns.size() == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(aCancelledJobStopsSentAttemptsAndReleasesPlannedOnes)
@@ -74,12 +74,12 @@
     this->placeAndRun();
     this->addJob("k", { step(1, 1000) });
     this->place();
-    this->board.endJob(job, JobState::Cancelled);
-    this->board.endJob(this->board.jobs.at(JobId("k")), JobState::Cancelled);
+    this->tables.endJob(job, JobState::Cancelled);
+    this->tables.endJob(this->tables.jobs.at(JobId("k")), JobState::Cancelled);
     BOOST_TEST(worker.attempts.size() == 2U);
     for (const auto& [name, attempt] : worker.attempts)
         BOOST_TEST((attempt.phase == AttemptPhase::Stopping));
-    BOOST_TEST(this->board.usage[TeamId("bakers")].cpuMillis == 2000);
+    BOOST_TEST(this->tables.usage[TeamId("bakers")].cpuMillis == 2000);
 }
 
 BOOST_AUTO_TEST_CASE(anOrphanedAttemptOfAForgottenJobOccupiesCapacityUntilItHasEnded)
@@ -87,30 +87,30 @@
     WorkerRow& worker = this->addWorker("w1");
     JobRow& job = this->addJob("j", { step(1, 3000) });
     this->placeAndRun();
-    this->board.endJob(job, JobState::Cancelled);
-    this->board.forgetJob(JobId("j"));
-    BOOST_TEST(worker.strays.size() == 1U);
+    this->tables.endJob(job, JobState::Cancelled);
+    this->tables.removeJob(JobId("j"));
+    BOOST_TEST(worker.orphans.size() == 1U);
     BOOST_TEST(worker.occupied.cpuMillis == 3000);
     WorkerReport report;
     report.ended.push_back({ 1, task("j", 0, 0), 1, EndKind::Stopped, {} });
     this->report(worker, report);
-    BOOST_TEST(worker.strays.empty());
+    BOOST_TEST(worker.orphans.empty());
     BOOST_TEST(worker.occupied.cpuMillis == 0);
-    BOOST_TEST(this->board.usage[TeamId("bakers")].cpuMillis == 0);
+    BOOST_TEST(this->tables.usage[TeamId("bakers")].cpuMillis == 0);
 }
 
-/// `forgetJob` takes the id by value, since callers pass the id in the row that it erases. By reference, it would read
+/// `removeJob` takes the id by value, since callers pass the id in the row that it erases. By reference, it would read
 /// the id of an erased row.
 BOOST_AUTO_TEST_CASE(aForgottenJobIsNotAddedAgain)
 {
     const std::string id = "40078c1fbedccf70";
     JobRow& job = this->addJob(id, { step(1, 1000) });
     JobRecord again = job.record;
-    this->board.endJob(job, JobState::Completed);
-    this->board.forgetJob(job.record.id);
-    BOOST_TEST(this->board.forgotten.contains(JobId(id)));
-    BOOST_TEST(!this->board.addJob(again, {}));
-    BOOST_TEST(this->board.unrecorded.empty());
+    this->tables.endJob(job, JobState::Completed);
+    this->tables.removeJob(job.record.id);
+    BOOST_TEST(this->tables.removedJobs.contains(JobId(id)));
+    BOOST_TEST(!this->tables.addJob(again, {}));
+    BOOST_TEST(this->tables.unsavedJobs.empty());
 }
 
 BOOST_AUTO_TEST_CASE(progressIsDecodedAsItWasEncoded)
@@ -120,7 +120,7 @@
     this->placeAndRun();
     this->end(task("j", 0, 0), EndKind::Done);
     this->end(task("j", 0, 1), EndKind::Failed);
-    auto text = JobProgressCodec().encode(this->board.progressOf(job));
+    auto text = JobProgressCodec().encode(this->tables.progressOf(job));
     auto decoded = JobProgressCodec().decode(JobId("j"), text);
     BOOST_REQUIRE(decoded.has_value());
     BOOST_TEST(decoded->done.contains(task("j", 0, 0)));
--- a/modules/jobs/tests/PlacementTests.cpp
+++ b/modules/jobs/tests/PlacementTests.cpp
@@ -20,7 +20,7 @@
     WorkerRow& worker = this->addWorker("w1", "north", 1000);
     JobRow& job = this->addJob("j", { step(1, 1000) });
     this->placeAndRun();
-    this->board.endJob(job, JobState::Cancelled);
+    this->tables.endJob(job, JobState::Cancelled);
     this->addJob("k", { step(1, 1000) });
     BOOST_TEST(this->place().empty());
     BOOST_TEST(worker.occupied.cpuMillis == 1000);
@@ -34,7 +34,7 @@
     this->addJob("j", { step(2, 1000) }, "quick");
     this->addJob("k", { step(2, 1000) }, "distant");
     BOOST_TEST(this->place().size() == 3U);
-    BOOST_TEST(this->board.usage[TeamId("bakers")].cpuMillis == 3000);
+    BOOST_TEST(this->tables.usage[TeamId("bakers")].cpuMillis == 3000);
 }
 
 BOOST_AUTO_TEST_CASE(tasksOfAStepKeepToTheirLimitPerWorker)
@@ -59,7 +59,7 @@
     labelled.requiredLabel = "gpu-kind";
     this->addJob("j", { labelled });
     BOOST_TEST(this->place().empty());
-    this->addWorker("labelled").facts.labels = { "gpu-kind", "rack-2" };
+    this->addWorker("labelled").info.labels = { "gpu-kind", "rack-2" };
     auto orders = this->place();
     BOOST_REQUIRE(orders.size() == 1U);
     BOOST_TEST(orders.front().worker.string() == "labelled");
@@ -67,12 +67,12 @@
 
 BOOST_AUTO_TEST_CASE(nothingIsPlacedOnWorkersThatLeaveOrAreSuspect)
 {
-    this->addWorker("draining").facts.draining = true;
+    this->addWorker("draining").info.draining = true;
     this->addWorker("suspect").isSuspect = true;
     this->addWorker("unlisted").isListed = false;
     this->addWorker("unreached").isReached = false;
-    this->addWorker("unrecorded").isRecorded = false;
-    this->addWorker("being-drained").isEvacuating = true;
+    this->addWorker("unrecorded").isOnRoster = false;
+    this->addWorker("being-drained").isDrainOrdered = true;
     this->addWorker("other", "south");
     this->addJob("j", { step(1, 100) });
     BOOST_TEST(this->place().empty());
@@ -125,13 +125,13 @@
 /// More tasks prefer one rack than it has capacity for.
 BOOST_AUTO_TEST_CASE(aTaskWaitsForItsRackIfItWouldBeLateElsewhere)
 {
-    this->addWorker("near", "north", 1000).facts.labels = { "a", "rack-7" };
+    this->addWorker("near", "north", 1000).info.labels = { "a", "rack-7" };
     this->addWorker("far", "north", 8000);
     StepSpec local = step(2, 1000, Milliseconds(1000));
     local.preferredRack = "rack-7";
     this->addJob("j", { local });
     // The job is on time within twice its second of work plus 600 ms. On the far worker, the work would take 3 s.
-    PlacementSystem placement(this->board, 3);
+    PlacementSystem placement(this->tables, 3);
     auto orders = placement.place(this->now, this->unixMs);
     BOOST_REQUIRE(orders.size() == 1U);
     BOOST_TEST((orders.front().worker == WorkerId("near")));
@@ -168,7 +168,7 @@
     this->place();
     BOOST_TEST(!job.hasStarted);
     BOOST_TEST((job.state == JobState::Waiting));
-    BOOST_TEST(this->board.unrecorded.empty());
+    BOOST_TEST(this->tables.unsavedJobs.empty());
 }
 
 /// If one member could not be started, the others would wait for it until they time out.
@@ -179,7 +179,7 @@
     gang.gang = true;
     JobRow& job = this->addJob("j", { gang });
     this->placeAndRun();
-    this->board.releaseAttempt(worker, task("j", 0, 1));
+    this->tables.releaseAttempt(worker, task("j", 0, 1));
     BOOST_TEST(this->place().empty());
     for (const auto& [name, attempt] : worker.attempts)
         BOOST_TEST((attempt.phase == AttemptPhase::Stopping));
@@ -194,7 +194,7 @@
 
 BOOST_AUTO_TEST_CASE(aGangIsPlacedOnOneRackIfOneHasTheCapacity)
 {
-    auto addTo = [this](const char* id, const char* rack) { this->addWorker(id, "north", 2000).facts.rack = rack; };
+    auto addTo = [this](const char* id, const char* rack) { this->addWorker(id, "north", 2000).info.rack = rack; };
     addTo("w1", "rack-1");
     addTo("w2", "rack-2");
     addTo("w3", "rack-2");
@@ -238,9 +238,9 @@
 BOOST_AUTO_TEST_CASE(aLongRunningTaskIsPlacedAgainInAFullPool)
 {
     this->addWorker("w1", "north", 2000);
-    StepSpec longRunning = step(1, 1000);
-    longRunning.lasting = true;
-    this->addJob("long-running", { longRunning });
+    StepSpec longRunningStep = step(1, 1000);
+    longRunningStep.longRunning = true;
+    this->addJob("long-running", { longRunningStep });
     this->placeAndRun();
     this->addJob("quick", { step(5, 1000) });
     this->placeAndRun();
@@ -265,14 +265,14 @@
     WorkerRow& first = this->addWorker("first", "north", 1000);
     this->addWorker("second", "north", 1000);
     StepSpec latencySensitive = step(1, 1000);
-    latencySensitive.lasting = true;
+    latencySensitive.longRunning = true;
     latencySensitive.tailTarget = Milliseconds(50);
     this->addJob("latency-sensitive", { latencySensitive });
     this->placeAndRun();
-    const WorkerId host = this->board.findTask(task("latency-sensitive", 0, 0))->worker;
-    StepSpec bestEffort = step(2, 4000);
-    bestEffort.fills = true;
-    this->addJob("best-effort", { bestEffort });
+    const WorkerId host = this->tables.findTask(task("latency-sensitive", 0, 0))->worker;
+    StepSpec bestEffortStep = step(2, 4000);
+    bestEffortStep.bestEffort = true;
+    this->addJob("best-effort", { bestEffortStep });
     for (const auto& order : this->place())
         BOOST_TEST((order.worker != host));
     BOOST_TEST(first.occupied.cpuMillis <= 1000);
@@ -288,7 +288,7 @@
     record.spec.occurrences = 2;
     record.spec.firstDueUnixMs = this->unixMs + 1000;
     record.spec.intervalMs = 1000;
-    this->board.addJob(record, {});
+    this->tables.addJob(record, {});
     BOOST_TEST(this->place().empty());
     this->advance(Milliseconds(1000));
     BOOST_TEST(this->place().size() == 1U);
--- a/modules/jobs/tests/ReportTests.cpp
+++ b/modules/jobs/tests/ReportTests.cpp
@@ -13,13 +13,13 @@
     unreached.isReached = false;
     unreached.isSuspect = true;
     JobRow& job = this->addJob("j", { step(2, 1000) });
-    this->board.inherit(job, { { task("j", 0, 0), { WorkerId("unreached"), 1 } } }, this->now);
+    this->tables.restorePlacements(job, { { task("j", 0, 0), { WorkerId("unreached"), 1 } } }, this->now);
     auto orders = this->place();
     // Only the task with a stored placement waits; the other was certainly not started.
     BOOST_REQUIRE(orders.size() == 1U);
     BOOST_TEST((orders.front().task == task("j", 0, 1)));
     // Once the worker's lease has expired, the task starts on another worker under a higher number.
-    this->board.clearWorker(unreached);
+    this->tables.clearWorker(unreached);
     orders = this->place();
     BOOST_REQUIRE(orders.size() == 1U);
     BOOST_TEST(orders.front().worker.string() == "reached");
@@ -30,7 +30,7 @@
 {
     WorkerRow& worker = this->addWorker("w1");
     JobRow& job = this->addJob("j", { step(1, 1000) });
-    this->board.inherit(job, { { task("j", 0, 0), { WorkerId("w1"), 4 } } }, this->now);
+    this->tables.restorePlacements(job, { { task("j", 0, 0), { WorkerId("w1"), 4 } } }, this->now);
     WorkerReport report;
     report.running.push_back({ task("j", 0, 0), 4, "saved", 100, 0 });
     this->report(worker, report);
@@ -42,7 +42,7 @@
 {
     WorkerRow& worker = this->addWorker("w1");
     JobRow& job = this->addJob("j", { step(1, 1000) });
-    this->board.inherit(job, { { task("j", 0, 0), { WorkerId("w1"), 4 } } }, this->now);
+    this->tables.restorePlacements(job, { { task("j", 0, 0), { WorkerId("w1"), 4 } } }, this->now);
     this->report(worker, {});
     auto orders = this->place();
     BOOST_REQUIRE(orders.size() == 1U);
@@ -64,14 +64,14 @@
     BOOST_TEST(!worker.attempts.contains(task("j", 0, 0)));
 }
 
-BOOST_AUTO_TEST_CASE(aReportSaysNothingAboutAnAttemptConfirmedAfterItsQuestion)
+BOOST_AUTO_TEST_CASE(aReportSaysNothingAboutAnAttemptConfirmedAfterItsRequest)
 {
     WorkerRow& worker = this->addWorker("w1");
     this->addJob("j", { step(1, 1000) });
     Instant sentAt = this->now;
     this->advance(Milliseconds(5));
     this->placeAndRun();
-    ReportSystem(this->board).apply(worker, {}, sentAt, this->now);
+    ReportSystem(this->tables).apply(worker, {}, sentAt, this->now);
     BOOST_TEST(worker.attempts.contains(task("j", 0, 0)));
 }
 
@@ -92,7 +92,7 @@
     auto events = this->report(worker, report);
     BOOST_REQUIRE(events.size() == 1U);
     BOOST_TEST((events.front().kind == AttemptEventKind::Unwanted));
-    BOOST_TEST(worker.strays.size() == 1U);
+    BOOST_TEST(worker.orphans.size() == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(aLostTaskResumesFromItsCheckpoint)
@@ -103,13 +103,13 @@
     auto report = this->fullReport(worker);
     report.running.front().checkpoint = "half";
     this->report(worker, report);
-    this->board.clearWorker(worker);
+    this->tables.clearWorker(worker);
     worker.isReached = true;
     this->place();
     BOOST_TEST(worker.attempts.at(task("j", 0, 0)).checkpoint == "half");
 }
 
-BOOST_AUTO_TEST_CASE(aWorkerWithConsecutiveFailuresIsSetAsideAndTriedAgainLater)
+BOOST_AUTO_TEST_CASE(aWorkerWithConsecutiveFailuresIsQuarantinedAndTriedAgainLater)
 {
     this->addWorker("bad");
     this->addJob("j", { step(1, 1000) });
@@ -118,7 +118,7 @@
     this->end(task("j", 0, 0), EndKind::Failed);
     this->end(task("k", 0, 0), EndKind::Failed);
     BOOST_TEST(this->place().empty());
-    this->advance(ReportSystem::setAsideFor);
+    this->advance(ReportSystem::quarantineDuration);
     BOOST_TEST(!this->place().empty());
 }
 
@@ -128,13 +128,13 @@
     this->addWorker("w2");
     this->addJob("j", { step(1, 1000) });
     this->placeAndRun();
-    WorkerId first = this->board.findTask(task("j", 0, 0))->worker;
-    WorkerRow& other = this->board.workers.at(WorkerId(first.string() == "w1" ? "w2" : "w1"));
+    WorkerId first = this->tables.findTask(task("j", 0, 0))->worker;
+    WorkerRow& other = this->tables.workers.at(WorkerId(first.string() == "w1" ? "w2" : "w1"));
     WorkerReport report;
     report.ended.push_back({ 1, task("j", 0, 0), 7, EndKind::Done, {} });
     this->report(other, report);
-    BOOST_TEST((this->board.jobs.at(JobId("j")).state == JobState::Completed));
-    BOOST_TEST((this->board.workers.at(first).attempts.at(task("j", 0, 0)).phase == AttemptPhase::Stopping));
+    BOOST_TEST((this->tables.jobs.at(JobId("j")).state == JobState::Completed));
+    BOOST_TEST((this->tables.workers.at(first).attempts.at(task("j", 0, 0)).phase == AttemptPhase::Stopping));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/modules/jobs/tests/SizingTests.cpp
+++ b/modules/jobs/tests/SizingTests.cpp
@@ -11,25 +11,25 @@
 namespace {
 
 struct FleetFixture : JobTablesFixture {
-    void addMachine(const std::string& id, const char* pool)
+    void addVm(const std::string& id, const char* pool)
     {
-        VmInfo facts;
-        facts.id = VmId(id);
-        facts.pool = PoolId(pool);
-        facts.state = VmPhase::Up;
-        facts.capacity = { 8000, 64'000, 0 };
+        VmInfo info;
+        info.id = VmId(id);
+        info.pool = PoolId(pool);
+        info.state = VmPhase::Up;
+        info.capacity = { 8000, 64'000, 0 };
         if (std::string(pool) != "spare") {
-            facts.worker = WorkerId("w-" + id);
+            info.worker = WorkerId("w-" + id);
             this->addWorker("w-" + id, pool);
         }
-        this->machines[facts.id] = facts;
+        this->vms[info.id] = info;
     }
 
-    std::vector<MoveOrder> planMoves() { return this->sizing.advance(this->machines, {}, {}, this->now, this->unixMs); }
+    std::vector<MoveOrder> planMoves() { return this->sizing.advance(this->vms, {}, {}, this->now, this->unixMs); }
 
-    std::map<VmId, VmInfo> machines;
-    PoolSizing sizing { this->board };
-    MaintenanceSystem maintenance { this->board };
+    std::map<VmId, VmInfo> vms;
+    PoolSizing sizing { this->tables };
+    MaintenanceSystem maintenance { this->tables };
 };
 
 std::size_t movesTo(const std::vector<MoveOrder>& orders, const char* pool)
@@ -46,10 +46,10 @@
 BOOST_AUTO_TEST_CASE(aBurstMovesVmsFromTheSparePoolAndThenFromIdlePools)
 {
     for (int index = 0; index < 4; ++index) {
-        this->addMachine("n" + std::to_string(index), "north");
-        this->addMachine("s" + std::to_string(index), "south");
+        this->addVm("n" + std::to_string(index), "north");
+        this->addVm("s" + std::to_string(index), "south");
     }
-    this->addMachine("p0", "spare");
+    this->addVm("p0", "spare");
     this->addJob("burst", { step(56, 1000) });
     this->placeAndRun();
     auto orders = this->planMoves();
@@ -58,7 +58,7 @@
     BOOST_TEST(movesTo(orders, "north") == 3U);
     BOOST_TEST((orders.front().from.string() == "spare"));
     for (const auto& order : orders) {
-        if (auto* worker = this->board.findWorker(this->machines.at(order.machine).worker))
+        if (auto* worker = this->tables.findWorker(this->vms.at(order.vm).worker))
             BOOST_TEST(worker->attempts.empty());
     }
 }
@@ -66,35 +66,35 @@
 BOOST_AUTO_TEST_CASE(arrivingWorkMovesVmsBeforeAnyTaskWaits)
 {
     for (int index = 0; index < 3; ++index)
-        this->addMachine("n" + std::to_string(index), "north");
+        this->addVm("n" + std::to_string(index), "north");
     for (int index = 0; index < 4; ++index)
-        this->addMachine("p" + std::to_string(index), "spare");
+        this->addVm("p" + std::to_string(index), "spare");
     JobSpec spec;
     spec.steps = { step(10, 1000) };
     for (int arrival = 0; arrival < 3; ++arrival)
-        this->sizing.noteArrival(PoolId("north"), spec, this->now);
+        this->sizing.recordArrival(PoolId("north"), spec, this->now);
     BOOST_TEST(movesTo(this->planMoves(), "north") > 0U);
 }
 
 BOOST_AUTO_TEST_CASE(idleVmsBeyondTheReserveAreSwitchedOffAfterTheRetention)
 {
     for (int index = 0; index < 5; ++index)
-        this->addMachine("n" + std::to_string(index), "north");
-    for (int index = 0; index < PoolSizing::reserveMachines; ++index)
-        this->addMachine("s" + std::to_string(index), "south");
+        this->addVm("n" + std::to_string(index), "north");
+    for (int index = 0; index < PoolSizing::reserveVms; ++index)
+        this->addVm("s" + std::to_string(index), "south");
     BOOST_TEST(movesTo(this->planMoves(), "spare") == 0U);
     this->advance(PoolSizing::idleRetention);
-    BOOST_TEST(movesTo(this->planMoves(), "spare") == 5U - PoolSizing::reserveMachines);
+    BOOST_TEST(movesTo(this->planMoves(), "spare") == 5U - PoolSizing::reserveVms);
 }
 
 BOOST_AUTO_TEST_CASE(aVmWithAttemptsIsNeverMoved)
 {
     for (int index = 0; index < 5; ++index)
-        this->addMachine("n" + std::to_string(index), "north");
-    StepSpec longRunning = step(5, 100);
-    longRunning.lasting = true;
-    longRunning.perWorkerLimit = 1;
-    this->addJob("long-running", { longRunning });
+        this->addVm("n" + std::to_string(index), "north");
+    StepSpec longRunningStep = step(5, 100);
+    longRunningStep.longRunning = true;
+    longRunningStep.perWorkerLimit = 1;
+    this->addJob("long-running", { longRunningStep });
     this->placeAndRun();
     this->planMoves();
     this->advance(Seconds(60));
@@ -104,12 +104,12 @@
 BOOST_AUTO_TEST_CASE(aPoolHasAsManyVmsAsALongRunningStepNeedsWorkers)
 {
     for (int index = 0; index < 8; ++index)
-        this->addMachine("p" + std::to_string(index), "spare");
-    this->addMachine("n0", "north");
-    StepSpec longRunning = step(5, 100);
-    longRunning.lasting = true;
-    longRunning.perWorkerLimit = 1;
-    this->addJob("long-running", { longRunning });
+        this->addVm("p" + std::to_string(index), "spare");
+    this->addVm("n0", "north");
+    StepSpec longRunningStep = step(5, 100);
+    longRunningStep.longRunning = true;
+    longRunningStep.perWorkerLimit = 1;
+    this->addJob("long-running", { longRunningStep });
     this->placeAndRun();
     BOOST_TEST(movesTo(this->planMoves(), "north") >= 4U);
 }
@@ -121,43 +121,43 @@
     wave.maximum = 2;
     wave.dueBy = Deadline::after(this->now, Seconds(30));
     for (int index = 0; index < 9; ++index) {
-        this->addMachine("n" + std::to_string(index), "north");
-        wave.machines.emplace_back("n" + std::to_string(index));
+        this->addVm("n" + std::to_string(index), "north");
+        wave.vms.emplace_back("n" + std::to_string(index));
     }
-    auto ready = this->maintenance.advance(wave, this->machines, {}, this->now);
+    auto ready = this->maintenance.advance(wave, this->vms, {}, this->now);
     BOOST_REQUIRE(ready.size() == 2U);
     std::map<VmId, Deadline> down;
-    for (const auto& machine : ready)
-        down[machine] = Deadline::after(this->now, Seconds(2));
-    BOOST_TEST(this->maintenance.advance(wave, this->machines, down, this->now).empty());
+    for (const auto& vm : ready)
+        down[vm] = Deadline::after(this->now, Seconds(2));
+    BOOST_TEST(this->maintenance.advance(wave, this->vms, down, this->now).empty());
 }
 
-BOOST_AUTO_TEST_CASE(aWaveStopsNoMoreTasksThanALongRunningStepMayMiss)
+BOOST_AUTO_TEST_CASE(aWaveMakesNoMoreTasksUnavailableThanALongRunningStepAllows)
 {
     MaintenanceWave wave;
     wave.number = 1;
     wave.maximum = 9;
     wave.dueBy = Deadline::after(this->now, Seconds(3));
     for (int index = 0; index < 3; ++index) {
-        this->addMachine("n" + std::to_string(index), "north");
-        wave.machines.emplace_back("n" + std::to_string(index));
+        this->addVm("n" + std::to_string(index), "north");
+        wave.vms.emplace_back("n" + std::to_string(index));
     }
-    StepSpec longRunning = step(3, 100);
-    longRunning.lasting = true;
-    longRunning.perWorkerLimit = 1;
-    longRunning.mayMiss = 1;
-    this->addJob("long-running", { longRunning });
+    StepSpec longRunningStep = step(3, 100);
+    longRunningStep.longRunning = true;
+    longRunningStep.perWorkerLimit = 1;
+    longRunningStep.maxUnavailableTasks = 1;
+    this->addJob("long-running", { longRunningStep });
     this->placeAndRun();
     auto stopping = [this] {
         std::size_t count = 0;
-        for (const auto& [id, worker] : this->board.workers) {
+        for (const auto& [id, worker] : this->tables.workers) {
             for (const auto& [name, attempt] : worker.attempts)
                 count += attempt.phase == AttemptPhase::Stopping ? 1 : 0;
         }
         return count;
     };
-    this->maintenance.advance(wave, this->machines, {}, this->now);
-    this->maintenance.advance(wave, this->machines, {}, this->now);
+    this->maintenance.advance(wave, this->vms, {}, this->now);
+    this->maintenance.advance(wave, this->vms, {}, this->now);
     BOOST_TEST(stopping() == 1U);
 }
 
--- a/modules/jobs/tests/ThrottleTests.cpp
+++ b/modules/jobs/tests/ThrottleTests.cpp
@@ -12,13 +12,13 @@
     {
         this->addWorker("w1");
         StepSpec latencySensitive = step(1, 1000);
-        latencySensitive.lasting = true;
+        latencySensitive.longRunning = true;
         latencySensitive.tailTarget = Milliseconds(100);
-        StepSpec bestEffort = step(1, 1000);
-        bestEffort.lasting = true;
-        bestEffort.fills = true;
+        StepSpec bestEffortStep = step(1, 1000);
+        bestEffortStep.longRunning = true;
+        bestEffortStep.bestEffort = true;
         this->addJob("latency-sensitive", { latencySensitive });
-        this->addJob("best-effort", { bestEffort });
+        this->addJob("best-effort", { bestEffortStep });
         this->placeAndRun();
     }
 
@@ -26,13 +26,13 @@
     /// percent.
     int speedPercentAfter(std::int64_t tailMs)
     {
-        WorkerRow& worker = this->board.workers.at(WorkerId("w1"));
+        WorkerRow& worker = this->tables.workers.at(WorkerId("w1"));
         Attempt& bestEffort = worker.attempts.at(task("best-effort", 0, 0));
         worker.attempts.at(task("latency-sensitive", 0, 0)).load = tailMs;
         this->advance(ThrottleSystem::settlingTime);
-        ThrottleSystem(this->board).advance(this->now);
-        bestEffort.pacePercent = bestEffort.wantedPace;
-        return bestEffort.wantedPace;
+        ThrottleSystem(this->tables).advance(this->now);
+        bestEffort.speedPercent = bestEffort.wantedSpeedPercent;
+        return bestEffort.wantedSpeedPercent;
     }
 };
 
@@ -54,11 +54,11 @@
 
 BOOST_AUTO_TEST_CASE(aTaskOverItsTargetStopsBestEffortTasksWithoutWaitingForTheSettlingTime)
 {
-    WorkerRow& worker = this->board.workers.at(WorkerId("w1"));
+    WorkerRow& worker = this->tables.workers.at(WorkerId("w1"));
     BOOST_TEST(this->speedPercentAfter(90) == 75);
     worker.attempts.at(task("latency-sensitive", 0, 0)).load = 130;
-    ThrottleSystem(this->board).advance(this->now);
-    BOOST_TEST(worker.attempts.at(task("best-effort", 0, 0)).wantedPace == 0);
+    ThrottleSystem(this->tables).advance(this->now);
+    BOOST_TEST(worker.attempts.at(task("best-effort", 0, 0)).wantedSpeedPercent == 0);
 }
 
 BOOST_AUTO_TEST_CASE(bestEffortTasksWithoutLatencySensitiveTasksRunAtFullSpeed)
@@ -66,25 +66,25 @@
     this->addWorker("w2");
     BOOST_TEST(this->speedPercentAfter(130) == 0);
     this->end(task("latency-sensitive", 0, 0), EndKind::Stopped);
-    this->board.endJob(this->board.jobs.at(JobId("latency-sensitive")), JobState::Cancelled);
-    WorkerRow& worker = this->board.workers.at(WorkerId("w1"));
+    this->tables.endJob(this->tables.jobs.at(JobId("latency-sensitive")), JobState::Cancelled);
+    WorkerRow& worker = this->tables.workers.at(WorkerId("w1"));
     for (int tick = 0; tick < 4; ++tick) {
         this->advance(ThrottleSystem::settlingTime);
-        ThrottleSystem(this->board).advance(this->now);
+        ThrottleSystem(this->tables).advance(this->now);
     }
-    BOOST_TEST(worker.attempts.at(task("best-effort", 0, 0)).wantedPace == 100);
+    BOOST_TEST(worker.attempts.at(task("best-effort", 0, 0)).wantedSpeedPercent == 100);
 }
 
 /// A new leader continues with the speed that it finds.
 BOOST_AUTO_TEST_CASE(anAdoptedBestEffortTaskKeepsItsSpeed)
 {
-    WorkerRow& worker = this->board.workers.at(WorkerId("w1"));
+    WorkerRow& worker = this->tables.workers.at(WorkerId("w1"));
     auto report = this->fullReport(worker);
-    this->board.releaseAttempt(worker, task("best-effort", 0, 0));
+    this->tables.releaseAttempt(worker, task("best-effort", 0, 0));
     for (auto& running : report.running)
-        running.pacePercent = running.task.job == JobId("best-effort") ? 25 : 100;
+        running.speedPercent = running.task.job == JobId("best-effort") ? 25 : 100;
     this->report(worker, report);
-    BOOST_TEST(worker.attempts.at(task("best-effort", 0, 0)).wantedPace == 25);
+    BOOST_TEST(worker.attempts.at(task("best-effort", 0, 0)).wantedSpeedPercent == 25);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
