--- a/modules/coordinator/tests/CoordinatorTests.cpp
+++ b/modules/coordinator/tests/CoordinatorTests.cpp
@@ -1,5 +1,5 @@
-#include <coordinator/desk/JobDesk.h>
 #include <coordinator/placing/Coordinator.h>
+#include <coordinator/service/JobService.h>
 #include <coordinator/tests/FakeAdvice.h>
 #include <coordinator/tests/FakeWorkers.h>
 #include <coordinator/tests/MemoryStore.h>
@@ -18,18 +18,18 @@
 
 /// One daemon: a coordinator and a job service, with access to the stand-ins for store and workers.
 struct FakeDaemon {
-    static constexpr Milliseconds leaseLength { 4000 };
-    static constexpr Milliseconds keepEndedFor { 3000 };
-    using TestCoordinator = Coordinator<MemoryStore, FakeLink, FakeMachines, FakeAdvice>;
+    static constexpr Milliseconds leaseDuration { 4000 };
+    static constexpr Milliseconds endedJobRetention { 3000 };
+    using TestCoordinator = Coordinator<MemoryStore, FakeLink, FakeVms, FakeAdvice>;
 
     FakeDaemon(event_base& base, MemoryTables& tables, FakeWorkers& workers, const char* name, const char* incarnation)
         : store(base, tables)
         , link(base, workers)
-        , machines(base)
+        , vmService(base)
         , advice(base)
-        , coordinator(base, this->store, this->link, this->machines, this->advice, DaemonId(name),
-              IncarnationId(incarnation), { leaseLength, Milliseconds(0), keepEndedFor })
-        , desk(this->store)
+        , coordinator(base, this->store, this->link, this->vmService, this->advice, DaemonId(name),
+              IncarnationId(incarnation), { leaseDuration, Milliseconds(0), endedJobRetention })
+        , jobService(this->store)
     {
         auto policies = std::make_shared<JobPolicies>();
         policies->version = 1;
@@ -43,31 +43,31 @@
         queue.advice = AdvicePolicy { Milliseconds(5), Milliseconds(1), Milliseconds(3000) };
         policies->queues[queue.id] = queue;
         this->coordinator.setPolicies(policies);
-        this->coordinator.onDirectoryWanted([this](bool isWanted) {
-            if (isWanted)
+        this->coordinator.onWorkerWatchNeeded([this](bool isNeeded) {
+            if (isNeeded)
                 this->coordinator.setWorkers(FakeDaemon::directory());
         });
     }
 
-    static std::vector<WorkerFacts> directory()
+    static std::vector<WorkerInfo> directory()
     {
-        std::vector<WorkerFacts> workers;
+        std::vector<WorkerInfo> workers;
         for (const char* name : { "w1", "w2" }) {
-            WorkerFacts facts;
-            facts.id = WorkerId(name);
-            facts.pool = PoolId("north");
-            facts.capacity = { 8000, 64'000, 0 };
-            workers.push_back(facts);
+            WorkerInfo info;
+            info.id = WorkerId(name);
+            info.pool = PoolId("north");
+            info.capacity = { 8000, 64'000, 0 };
+            workers.push_back(info);
         }
         return workers;
     }
 
     MemoryStore store;
     FakeLink link;
-    FakeMachines machines;
+    FakeVms vmService;
     FakeAdvice advice;
     TestCoordinator coordinator;
-    JobDesk<MemoryStore> desk;
+    JobService<MemoryStore> jobService;
 };
 
 struct CoordinatorFixture {
@@ -111,19 +111,19 @@
         return record;
     }
 
-    DeskOutcome submit(FakeDaemon& daemon, const JobRecord& record)
+    JobRequestOutcome submit(FakeDaemon& daemon, const JobRecord& record)
     {
-        std::optional<DeskOutcome> outcome;
-        daemon.desk.submit(record, Deadline::after(BootClock::now(), Milliseconds(500)),
-            [&outcome](DeskOutcome result) { outcome = result; });
+        std::optional<JobRequestOutcome> outcome;
+        daemon.jobService.submit(record, Deadline::after(BootClock::now(), Milliseconds(500)),
+            [&outcome](JobRequestOutcome result) { outcome = result; });
         this->runUntil([&outcome] { return outcome.has_value(); });
         return *outcome;
     }
 
-    StateAnswer state(FakeDaemon& daemon, const std::string& id)
+    JobStateAnswer state(FakeDaemon& daemon, const std::string& id)
     {
-        std::optional<StateAnswer> answer;
-        daemon.desk.findState(JobId(id), [&answer](StateAnswer result) { answer = result; });
+        std::optional<JobStateAnswer> answer;
+        daemon.jobService.findState(JobId(id), [&answer](JobStateAnswer result) { answer = result; });
         this->runUntil([&answer] { return answer.has_value(); });
         return *answer;
     }
@@ -150,13 +150,13 @@
 BOOST_AUTO_TEST_CASE(aSubmittedJobIsRunOnceAndShownAsCompleted)
 {
     this->first->coordinator.start();
-    BOOST_TEST((this->submit(*this->first, this->job("j", 4)) == DeskOutcome::Stored));
+    BOOST_TEST((this->submit(*this->first, this->job("j", 4)) == JobRequestOutcome::Stored));
     BOOST_TEST(this->runUntil([this] { return this->isCompleted("j"); }));
     BOOST_TEST(this->workers.starts == 4U);
-    BOOST_TEST(this->workers.doubled.empty());
-    StateAnswer answer = this->state(*this->first, "j");
-    BOOST_TEST((answer.outcome == DeskOutcome::Stored && answer.state == JobState::Completed));
-    BOOST_TEST((this->state(*this->first, "none").outcome == DeskOutcome::NoSuchJob));
+    BOOST_TEST(this->workers.startedTwice.empty());
+    JobStateAnswer answer = this->state(*this->first, "j");
+    BOOST_TEST((answer.outcome == JobRequestOutcome::Stored && answer.state == JobState::Completed));
+    BOOST_TEST((this->state(*this->first, "none").outcome == JobRequestOutcome::NoSuchJob));
     // The workers may forget ends once these are stored.
     BOOST_TEST(this->runUntil([this] { return this->workers.storedAsDone.size() == 4U; }));
 }
@@ -172,17 +172,17 @@
     BOOST_TEST(this->runUntil([this] { return this->isCompleted("j"); }));
     BOOST_TEST(this->workers.starts == 4U);
     BOOST_TEST((this->workers.tickets == std::set<std::string> { "ticket for w2" }));
-    // The first question is refused and the second one answered; no further one is needed.
-    BOOST_TEST(this->first->advice.questions == 2U);
+    // The first request is refused and the second one answered; no further one is needed.
+    BOOST_TEST(this->first->advice.requests == 2U);
 }
 
 BOOST_AUTO_TEST_CASE(aRepeatedSubmissionStaysOneJob)
 {
     this->first->coordinator.start();
-    BOOST_TEST((this->submit(*this->first, this->job("j", 2)) == DeskOutcome::Stored));
-    BOOST_TEST((this->submit(*this->first, this->job("j", 2)) == DeskOutcome::Stored));
+    BOOST_TEST((this->submit(*this->first, this->job("j", 2)) == JobRequestOutcome::Stored));
+    BOOST_TEST((this->submit(*this->first, this->job("j", 2)) == JobRequestOutcome::Stored));
     BOOST_TEST(this->runUntil([this] { return this->isCompleted("j"); }));
-    BOOST_TEST((this->submit(*this->first, this->job("j", 2)) == DeskOutcome::Stored));
+    BOOST_TEST((this->submit(*this->first, this->job("j", 2)) == JobRequestOutcome::Stored));
     this->runFor(Milliseconds(300));
     BOOST_TEST(this->workers.starts == 2U);
 }
@@ -190,21 +190,21 @@
 BOOST_AUTO_TEST_CASE(aSubmissionWhoseAnswerWasLostIsFoundStored)
 {
     this->first->store.loseCommits = 1;
-    BOOST_TEST((this->submit(*this->first, this->job("j", 1)) == DeskOutcome::Stored));
+    BOOST_TEST((this->submit(*this->first, this->job("j", 1)) == JobRequestOutcome::Stored));
     BOOST_TEST(this->tables.commits == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(aRefusedSubmissionIsNotStored)
 {
     this->first->store.isRefusing = true;
-    BOOST_TEST((this->submit(*this->first, this->job("j", 1)) == DeskOutcome::NotStored));
+    BOOST_TEST((this->submit(*this->first, this->job("j", 1)) == JobRequestOutcome::NotStored));
     BOOST_TEST(this->tables.items.empty());
 }
 
 BOOST_AUTO_TEST_CASE(aSubmissionToAnUnresponsiveStoreIsUnknown)
 {
     this->first->store.isUnresponsive = true;
-    BOOST_TEST((this->submit(*this->first, this->job("j", 1)) == DeskOutcome::Unknown));
+    BOOST_TEST((this->submit(*this->first, this->job("j", 1)) == JobRequestOutcome::Unknown));
 }
 
 BOOST_AUTO_TEST_CASE(noTaskStartsBeforeItsPlacementIsStored)
@@ -237,7 +237,7 @@
     this->first->store.isUnresponsive = true;
     BOOST_TEST(this->runUntil([this] { return this->second->coordinator.isLeader(); }));
     BOOST_TEST(this->runUntil([this] { return this->isCompleted("j"); }));
-    BOOST_TEST(this->workers.doubled.empty());
+    BOOST_TEST(this->workers.startedTwice.empty());
     BOOST_TEST(this->workers.starts == 4U);
     BOOST_TEST(!this->first->coordinator.leadershipState().mayAct(BootClock::now()));
 }
@@ -259,7 +259,7 @@
     this->second->link.unreachable = { this->busiestWorker() };
     BOOST_TEST(this->runUntil([this] { return this->isCompleted("j"); }, Milliseconds(15'000)));
     BOOST_TEST(this->workers.starts > 4U);
-    BOOST_TEST(this->workers.doubled.empty());
+    BOOST_TEST(this->workers.startedTwice.empty());
 }
 
 BOOST_AUTO_TEST_CASE(aRestartedLeaderBecomesLeaderAgainAtOnce)
@@ -275,7 +275,7 @@
     this->second->coordinator.start();
     BOOST_TEST(this->runUntil([this] { return this->second->coordinator.isLeader(); }, Milliseconds(300)));
     BOOST_TEST(this->runUntil([this] { return this->isCompleted("j"); }));
-    BOOST_TEST(this->workers.doubled.empty());
+    BOOST_TEST(this->workers.startedTwice.empty());
     BOOST_TEST(this->workers.starts == 4U);
 }
 
@@ -283,7 +283,7 @@
 BOOST_AUTO_TEST_CASE(aNewLeaderRepeatsTheWaitingJobsOfTheLastHeartbeat)
 {
     KvCommit earlier;
-    earlier.puts = { { StoreKeys::leader, HolderRecord { DaemonId("first"), IncarnationId("0"), 3 }.encode() },
+    earlier.puts = { { StoreKeys::leader, LeaderRecord { DaemonId("first"), IncarnationId("0"), 3 }.encode() },
         { StoreKeys::heartbeat, "{\"waiting\":{\"quick\":5}}" } };
     this->first->store.commit(earlier, [](auto) {});
     this->first->store.listDelay = Milliseconds(50);
@@ -314,7 +314,7 @@
     }
     for (int index = 0; index < 5; ++index)
         BOOST_TEST(this->runUntil([this, index] { return this->isCompleted("j" + std::to_string(index)); }));
-    BOOST_TEST(this->workers.doubled.empty());
+    BOOST_TEST(this->workers.startedTwice.empty());
     BOOST_TEST(this->workers.starts == 10U);
 }
 
@@ -338,13 +338,13 @@
         this->runFor(Milliseconds(20));
         this->submit(*this->first, this->job("j" + std::to_string(round), 1));
         KvCommit leaderChange;
-        leaderChange.puts = { { StoreKeys::leader, HolderRecord { DaemonId(), IncarnationId("x"), 50 }.encode() },
+        leaderChange.puts = { { StoreKeys::leader, LeaderRecord { DaemonId(), IncarnationId("x"), 50 }.encode() },
             { StoreKeys::job(JobId("u" + std::to_string(round))),
                 JobRecordCodec().encode(this->job("u" + std::to_string(round), 1)) } };
         this->first->store.commit(leaderChange, [](auto) {});
     }
     BOOST_TEST(this->runUntil([this] { return this->isCompleted("u19") && this->isCompleted("j19"); }));
-    BOOST_TEST(this->workers.doubled.empty());
+    BOOST_TEST(this->workers.startedTwice.empty());
 }
 
 /// Guards against tasks that run twice: a listing may be made before a job ends and be answered after it, and then
@@ -363,7 +363,7 @@
     BOOST_TEST(this->runUntil([this] { return this->isCompleted("j"); }));
     this->runFor(Milliseconds(2500));
     BOOST_TEST(this->workers.starts == 3U);
-    BOOST_TEST(this->workers.doubled.empty());
+    BOOST_TEST(this->workers.startedTwice.empty());
 }
 
 BOOST_AUTO_TEST_CASE(theStateOfAnEndedJobIsKeptForAWhileAndThenRemoved)
@@ -374,7 +374,7 @@
     BOOST_REQUIRE(this->runUntil([this] { return this->isCompleted("j"); }));
     Instant ended = BootClock::now();
     BOOST_TEST(this->runUntil([this] { return !this->isCompleted("j"); }, Milliseconds(8000)));
-    BOOST_TEST((BootClock::now() - ended >= FakeDaemon::keepEndedFor - Milliseconds(50)));
+    BOOST_TEST((BootClock::now() - ended >= FakeDaemon::endedJobRetention - Milliseconds(50)));
 }
 
 BOOST_AUTO_TEST_CASE(aCancelledJobIsStopped)
@@ -384,10 +384,10 @@
     BOOST_REQUIRE(this->runUntil([this] { return this->first->coordinator.isLeader(); }));
     this->submit(*this->first, this->job("j", 3));
     BOOST_REQUIRE(this->runUntil([this] { return this->workers.starts == 3U; }));
-    std::optional<DeskOutcome> outcome;
-    this->first->desk.cancel(JobId("j"), Deadline::after(BootClock::now(), Milliseconds(500)),
-        [&outcome](DeskOutcome result) { outcome = result; });
-    BOOST_TEST(this->runUntil([&outcome] { return outcome == DeskOutcome::Stored; }));
+    std::optional<JobRequestOutcome> outcome;
+    this->first->jobService.cancel(JobId("j"), Deadline::after(BootClock::now(), Milliseconds(500)),
+        [&outcome](JobRequestOutcome result) { outcome = result; });
+    BOOST_TEST(this->runUntil([&outcome] { return outcome == JobRequestOutcome::Stored; }));
     BOOST_TEST(this->runUntil([this] { return this->state(*this->first, "j").state == JobState::Cancelled; }));
     BOOST_TEST(this->runUntil([this] {
         return this->workers.workers[WorkerId("w1")].running.empty()
@@ -407,7 +407,7 @@
     this->first->link.loseStarts = 2;
     this->submit(*this->first, this->job("j", 2));
     BOOST_TEST(this->runUntil([this] { return this->isCompleted("j"); }, Milliseconds(2000)));
-    BOOST_TEST(this->workers.doubled.empty());
+    BOOST_TEST(this->workers.startedTwice.empty());
 }
 
 /// Guards against a lease that expires because several renewals in a row are lost.
@@ -436,7 +436,7 @@
     this->workers.workers[host].running.begin()->second.endsAtMs += 60'000;
     this->first->link.unreachable = { host };
     BOOST_TEST(this->runUntil([this] { return this->isCompleted("j"); }));
-    BOOST_TEST(this->workers.doubled.empty());
+    BOOST_TEST(this->workers.startedTwice.empty());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/modules/jobs/systems/PacingSystem.cpp
+++ b/modules/jobs/systems/ThrottleSystem.cpp
@@ -1,20 +1,20 @@
-#include <jobs/systems/PacingSystem.h>
+#include <jobs/systems/ThrottleSystem.h>
 
-#include <jobs/board/JobBoard.h>
+#include <jobs/tables/JobTables.h>
 
 #include <algorithm>
 
 namespace Greengage {
 
-void PacingSystem::advance(Instant now)
+void ThrottleSystem::advance(Instant now)
 {
-    for (auto& [id, worker] : this->board.workers) {
-        if (worker.fillingCount && worker.isReached)
-            PacingSystem::updateSpeeds(worker, PacingSystem::worstLoadPercent(worker), now);
+    for (auto& [id, worker] : this->tables.workers) {
+        if (worker.bestEffortCount && worker.isReached)
+            ThrottleSystem::updateSpeeds(worker, ThrottleSystem::worstLoadPercent(worker), now);
     }
 }
 
-int PacingSystem::worstLoadPercent(const WorkerRow& worker)
+int ThrottleSystem::worstLoadPercent(const WorkerRow& worker)
 {
     constexpr int fullTargetPercent = 100;
     std::int64_t worst = 0;
@@ -25,13 +25,13 @@
     return static_cast<int>(worst);
 }
 
-void PacingSystem::updateSpeeds(WorkerRow& worker, int worstLoadPercent, Instant now)
+void ThrottleSystem::updateSpeeds(WorkerRow& worker, int worstLoadPercent, Instant now)
 {
     constexpr int fullTargetPercent = 100;
     for (auto& [task, attempt] : worker.attempts) {
-        if (!attempt.fills || attempt.phase != AttemptPhase::Running)
+        if (!attempt.isBestEffort || attempt.phase != AttemptPhase::Running)
             continue;
-        int wanted = attempt.wantedPace;
+        int wanted = attempt.wantedSpeedPercent;
         if (worstLoadPercent > fullTargetPercent)
             wanted = 0;
         else if (!attempt.nextSpeedChange.hasPassed(now))
@@ -40,9 +40,9 @@
             wanted = std::max(0, wanted - speedStepPercent);
         else if (worstLoadPercent < recoverBelowPercent)
             wanted = std::min(fullSpeedPercent, wanted + speedStepPercent);
-        if (wanted == attempt.wantedPace)
+        if (wanted == attempt.wantedSpeedPercent)
             continue;
-        attempt.wantedPace = wanted;
+        attempt.wantedSpeedPercent = wanted;
         attempt.nextSpeedChange = Deadline::after(now, settlingTime);
     }
 }
--- a/modules/jobs/board/JobBoard.cpp
+++ b/modules/jobs/tables/JobTables.cpp
@@ -1,4 +1,4 @@
-#include <jobs/board/JobBoard.h>
+#include <jobs/tables/JobTables.h>
 
 #include <algorithm>
 #include <utility>
@@ -22,9 +22,9 @@
 
 } // namespace
 
-bool JobBoard::addJob(JobRecord record, const JobProgress& progress)
+bool JobTables::addJob(JobRecord record, const JobProgress& progress)
 {
-    if (this->forgotten.contains(record.id))
+    if (this->removedJobs.contains(record.id))
         return false;
     auto [entry, added] = this->jobs.try_emplace(record.id);
     if (!added)
@@ -42,12 +42,12 @@
     return true;
 }
 
-void JobBoard::endJob(JobRow& job, JobState state)
+void JobTables::endJob(JobRow& job, JobState state)
 {
     if (job.hasEnded())
         return;
     job.state = state;
-    this->markUnrecorded(job);
+    this->markUnsaved(job);
     this->forEachAttempt(job, [this](WorkerRow& worker, Attempt& attempt) {
         if (attempt.mayHaveBeenSent())
             attempt.phase = AttemptPhase::Stopping;
@@ -56,7 +56,7 @@
     });
 }
 
-void JobBoard::forgetJob(JobId id)
+void JobTables::removeJob(JobId id)
 {
     auto found = this->jobs.find(id);
     if (found == this->jobs.end())
@@ -71,17 +71,17 @@
                 orphan.phase = AttemptPhase::Stopping;
                 worker.occupied += orphan.occupied;
                 this->usage[orphan.team] += orphan.charged;
-                worker.strays.emplace(std::pair(orphan.task, orphan.run), orphan);
+                worker.orphans.emplace(std::pair(orphan.task, orphan.run), orphan);
                 attempt = next;
             }
         }
     }
     this->jobs.erase(id);
-    this->unrecorded.erase(id);
-    this->forgotten.insert(std::move(id));
+    this->unsavedJobs.erase(id);
+    this->removedJobs.insert(std::move(id));
 }
 
-TaskRow* JobBoard::findTask(const TaskName& task)
+TaskRow* JobTables::findTask(const TaskName& task)
 {
     auto job = this->jobs.find(task.job);
     if (job == this->jobs.end() || task.occurrence >= job->second.occurrences.size())
@@ -92,7 +92,7 @@
     return &steps[task.step].tasks[task.index];
 }
 
-const StepSpec* JobBoard::findStep(const TaskName& task) const
+const StepSpec* JobTables::findStep(const TaskName& task) const
 {
     auto job = this->jobs.find(task.job);
     if (job == this->jobs.end() || task.step >= job->second.record.spec.steps.size())
@@ -100,19 +100,19 @@
     return &job->second.record.spec.steps[task.step];
 }
 
-WorkerRow* JobBoard::findWorker(const WorkerId& id)
+WorkerRow* JobTables::findWorker(const WorkerId& id)
 {
     auto found = this->workers.find(id);
     return found == this->workers.end() ? nullptr : &found->second;
 }
 
-const WorkerRow* JobBoard::findWorker(const WorkerId& id) const
+const WorkerRow* JobTables::findWorker(const WorkerId& id) const
 {
     auto found = this->workers.find(id);
     return found == this->workers.end() ? nullptr : &found->second;
 }
 
-bool JobBoard::isReady(
+bool JobTables::isReady(
     const JobRow& job, const OccurrenceRow& occurrence, std::uint32_t step, std::int64_t nowUnixMs) const
 {
     if (nowUnixMs < occurrence.dueUnixMs)
@@ -121,7 +121,7 @@
     return std::all_of(after.begin(), after.end(), [&](auto earlier) { return occurrence.steps[earlier].isDone(); });
 }
 
-void JobBoard::inherit(JobRow& job, const std::map<TaskName, TaskPlacement>& placements, Instant now)
+void JobTables::restorePlacements(JobRow& job, const std::map<TaskName, TaskPlacement>& placements, Instant now)
 {
     for (const auto& [task, placement] : placements) {
         TaskRow* row = this->findTask(task);
@@ -136,13 +136,13 @@
     }
 }
 
-Attempt& JobBoard::beginAttempt(
+Attempt& JobTables::beginAttempt(
     WorkerRow& worker, JobRow& job, const TaskName& task, std::uint32_t run, AttemptPhase phase, Instant now)
 {
     const StepSpec& step = job.record.spec.steps[task.step];
     TaskRow& row = *this->findTask(task);
     row.phase = TaskPhase::Active;
-    row.worker = worker.facts.id;
+    row.worker = worker.info.id;
     row.run = run;
     this->stepRow(job, task).activeCount += 1;
     job.activeTasks += 1;
@@ -151,14 +151,14 @@
     attempt.run = run;
     attempt.phase = phase;
     if (attempt.mayHaveBeenSent())
-        this->noteStarted(job);
+        this->recordStart(job);
     attempt.team = job.record.team;
     attempt.charged = step.demand;
     attempt.occupied = step.occupiedPerTask();
-    attempt.fills = step.fills;
+    attempt.isBestEffort = step.bestEffort;
     attempt.tailTarget = step.tailTarget;
-    attempt.isLongRunning = step.lasting;
-    worker.fillingCount += attempt.fills ? 1 : 0;
+    attempt.isLongRunning = step.longRunning;
+    worker.bestEffortCount += attempt.isBestEffort ? 1 : 0;
     worker.latencySensitiveCount += attempt.isLatencySensitive() ? 1 : 0;
     attempt.orderedAt = now;
     attempt.confirmedAt = now;
@@ -167,25 +167,25 @@
     return worker.attempts[task] = attempt;
 }
 
-void JobBoard::noteStarted(JobRow& job)
+void JobTables::recordStart(JobRow& job)
 {
     job.hasStarted = true;
     if (job.state == JobState::Waiting)
         job.state = JobState::Running;
 }
 
-void JobBoard::releaseAttempt(WorkerRow& worker, const TaskName& task)
+void JobTables::releaseAttempt(WorkerRow& worker, const TaskName& task)
 {
     auto found = worker.attempts.find(task);
     if (found == worker.attempts.end())
         return;
     const Attempt& attempt = found->second;
     worker.occupied -= attempt.occupied;
-    worker.fillingCount -= attempt.fills ? 1 : 0;
+    worker.bestEffortCount -= attempt.isBestEffort ? 1 : 0;
     worker.latencySensitiveCount -= attempt.isLatencySensitive() ? 1 : 0;
     this->usage[attempt.team] -= attempt.charged;
     TaskRow* row = this->findTask(task);
-    if (row && row->phase == TaskPhase::Active && row->worker == worker.facts.id && row->run == attempt.run) {
+    if (row && row->phase == TaskPhase::Active && row->worker == worker.info.id && row->run == attempt.run) {
         JobRow& job = this->jobs.at(task.job);
         row->phase = TaskPhase::Waiting;
         row->checkpoint = attempt.checkpoint.empty() ? row->checkpoint : attempt.checkpoint;
@@ -195,13 +195,13 @@
     worker.attempts.erase(found);
 }
 
-void JobBoard::dropTicket(const TaskName& task, const WorkerId& worker)
+void JobTables::dropTicket(const TaskName& task, const WorkerId& worker)
 {
     if (this->findTask(task))
         this->stepRow(this->jobs.at(task.job), task).advice.tickets.erase(worker);
 }
 
-void JobBoard::finishTask(JobRow& job, const TaskName& task)
+void JobTables::finishTask(JobRow& job, const TaskName& task)
 {
     TaskRow* row = this->findTask(task);
     if (!row || row->phase == TaskPhase::Done)
@@ -224,38 +224,38 @@
         this->endJob(job, JobState::Completed);
 }
 
-void JobBoard::countFailure(JobRow& job, const TaskName& task, std::uint32_t run, const WorkerId& worker)
+void JobTables::countFailure(JobRow& job, const TaskName& task, std::uint32_t run, const WorkerId& worker)
 {
     TaskRow* row = this->findTask(task);
-    if (!row || row->phase == TaskPhase::Done || job.record.spec.steps[task.step].lasting)
+    if (!row || row->phase == TaskPhase::Done || job.record.spec.steps[task.step].longRunning)
         return;
     if (!row->failedRuns.insert(run).second)
         return;
     row->failedOn = worker;
-    this->markUnrecorded(job);
+    this->markUnsaved(job);
     auto queue = this->policies->queues.find(job.record.queue);
     if (queue != this->policies->queues.end() && row->failedRuns.size() >= queue->second.maxAttempts)
         this->endJob(job, JobState::Failed);
 }
 
-void JobBoard::markUnrecorded(JobRow& job) { this->unrecorded.insert(job.record.id); }
+void JobTables::markUnsaved(JobRow& job) { this->unsavedJobs.insert(job.record.id); }
 
-void JobBoard::clearWorker(WorkerRow& worker)
+void JobTables::clearWorker(WorkerRow& worker)
 {
     while (!worker.attempts.empty()) {
         TaskName task = worker.attempts.begin()->first;
         this->releaseAttempt(worker, task);
     }
-    for (const auto& [key, orphan] : worker.strays)
+    for (const auto& [key, orphan] : worker.orphans)
         this->usage[orphan.team] -= orphan.charged;
-    worker.strays.clear();
+    worker.orphans.clear();
     worker.occupied = {};
-    worker.endsSeen = 0;
-    worker.endsRecorded = 0;
+    worker.appliedEnds = 0;
+    worker.storedEnds = 0;
     worker.isReached = false;
 }
 
-JobProgress JobBoard::progressOf(const JobRow& job) const
+JobProgress JobTables::progressOf(const JobRow& job) const
 {
     JobProgress progress;
     for (std::uint32_t occurrence = 0; occurrence < job.occurrences.size(); ++occurrence) {
@@ -276,7 +276,7 @@
     return progress;
 }
 
-StepRow& JobBoard::stepRow(JobRow& job, const TaskName& task)
+StepRow& JobTables::stepRow(JobRow& job, const TaskName& task)
 {
     return job.occurrences[task.occurrence].steps[task.step];
 }
