--- a/tests/checker/AnswerEvent.h
+++ b/tests/checker/AnswerEvent.h
@@ -7,14 +7,14 @@
 
 namespace Greengage {
 
-/// What a caller saw of one attempt.
+/// The outcome of one attempt as its caller observed it.
 enum class SeenOutcome {
     Answered,
     NotRun,
     Unknown,
-    /// The connection broke, or no answer came in the caller's own time.
+    /// The connection broke, or no answer came within the caller's own time limit.
     Broken,
-    /// No connection could be made, so no byte was sent.
+    /// No connection could be established, so no byte was sent.
     NotSent,
 };
 
@@ -28,13 +28,13 @@
     } };
 };
 
-/// The end of one attempt: "event=answer".
+/// The end of one attempt, recorded as "event=answer".
 struct AnswerEvent {
     std::string call;
     SeenOutcome outcome = SeenOutcome::Broken;
-    /// The daemon's request id; empty if none came.
+    /// The request id that the daemon returned; empty if there was none.
     std::string request;
-    /// For Answered: whether the body was whole and the attempt's own.
+    /// For Answered: whether the body was complete and belonged to this attempt.
     bool whole = true;
     Instant at;
 };
--- a/tests/checker/History.h
+++ b/tests/checker/History.h
@@ -9,7 +9,7 @@
 
 namespace Greengage {
 
-/// What callers, endpoints and operators recorded in one run.
+/// The events that callers, endpoints, operators and the platform recorded in one run.
 struct History {
     std::vector<InvokeEvent> invokes;
     std::vector<AnswerEvent> answers;
--- a/tests/checker/HistoryChecker.cpp
+++ b/tests/checker/HistoryChecker.cpp
@@ -27,7 +27,7 @@
     this->verdict = {};
     this->checkOutcomes();
     this->checkAnswers();
-    this->checkRepeats();
+    this->checkDuplicateStarts();
     this->checkTeamsAndKeys();
     this->checkLimits();
     this->checkLeaving();
@@ -40,17 +40,17 @@
     for (const auto& invoke : this->history.invokes)
         submissions[invoke.submission].push_back(&invoke);
     for (const auto& [submission, attempts] : submissions)
-        this->countSubmission(submission, attempts);
+        this->classifySubmission(submission, attempts);
 }
 
-void HistoryChecker::countSubmission(const std::string& submission, const Attempts& attempts)
+void HistoryChecker::classifySubmission(const std::string& submission, const Attempts& attempts)
 {
     std::set<SeenOutcome> seen;
-    bool unended = false;
+    bool unanswered = false;
     for (const auto* attempt : attempts) {
         auto found = this->answersByCall.find(attempt->call);
         if (found == this->answersByCall.end())
-            unended = true;
+            unanswered = true;
         else
             seen.insert(found->second->outcome);
     }
@@ -58,12 +58,12 @@
     bool refused = seen.contains(SeenOutcome::NotRun) || seen.contains(SeenOutcome::NotSent);
     if (seen.contains(SeenOutcome::Answered))
         ++this->verdict.answered;
-    else if (!unended && (seen.contains(SeenOutcome::Unknown) || (broken && refused)))
+    else if (!unanswered && (seen.contains(SeenOutcome::Unknown) || (broken && refused)))
         ++this->verdict.unknown;
-    else if (!unended && !broken)
+    else if (!unanswered && !broken)
         ++this->verdict.notRun;
     else
-        this->verdict.add(HistoryFault::Lost, "submission=" + submission);
+        this->verdict.add(HistoryViolation::Lost, "submission=" + submission);
 }
 
 void HistoryChecker::checkAnswers()
@@ -76,28 +76,28 @@
     }
     for (const auto& answer : this->history.answers) {
         if (answer.outcome == SeenOutcome::Answered && !answer.whole)
-            this->verdict.add(HistoryFault::Cut, "call=" + answer.call);
+            this->verdict.add(HistoryViolation::CorruptAnswer, "call=" + answer.call);
         if (answer.outcome == SeenOutcome::Broken)
             ++this->verdict.brokenAttempts;
         bool refused = answer.outcome == SeenOutcome::NotRun || answer.outcome == SeenOutcome::NotSent;
         bool started = startedCalls.contains(answer.call)
             || (!answer.request.empty() && startedRequests.contains(answer.request));
         if (refused && started)
-            this->verdict.add(HistoryFault::FalseNotRun, "call=" + answer.call);
+            this->verdict.add(HistoryViolation::FalseNotRun, "call=" + answer.call);
     }
 }
 
-void HistoryChecker::checkRepeats()
+void HistoryChecker::checkDuplicateStarts()
 {
     std::map<std::string, int> startsByKey;
     for (const auto* start : this->starts) {
-        const auto* invoke = this->invokeOf(start->call);
+        const auto* invoke = this->findInvoke(start->call);
         if (invoke && !invoke->idempotencyKey.empty())
             ++startsByKey[invoke->team + "/" + invoke->idempotencyKey];
     }
     for (const auto& [key, count] : startsByKey) {
         if (count > 1)
-            this->verdict.add(HistoryFault::Doubled, "key=" + key + " starts=" + std::to_string(count));
+            this->verdict.add(HistoryViolation::DuplicateStart, "key=" + key + " starts=" + std::to_string(count));
     }
 }
 
@@ -109,21 +109,21 @@
             withdrawals.emplace(change.subject, change.at);
     }
     for (const auto* start : this->starts) {
-        const auto* invoke = this->invokeOf(start->call);
+        const auto* invoke = this->findInvoke(start->call);
         if (!invoke || invoke->key.empty())
             continue;
         if (start->team != invoke->team)
-            this->verdict.add(HistoryFault::WrongTeam, "call=" + start->call + " team=" + start->team);
+            this->verdict.add(HistoryViolation::WrongTeam, "call=" + start->call + " team=" + start->team);
         auto withdrawal = withdrawals.find(invoke->key);
         if (withdrawal != withdrawals.end() && start->at > withdrawal->second + withdrawalBound)
-            this->verdict.add(HistoryFault::AfterWithdrawal, "call=" + start->call + " key=" + invoke->key);
+            this->verdict.add(HistoryViolation::StartAfterWithdrawal, "call=" + start->call + " key=" + invoke->key);
     }
 }
 
 void HistoryChecker::checkLimits()
 {
     auto ordered = this->history.work;
-    // An end and a start at the same instant do not overlap.
+    // Ends sort before starts at the same instant, so that these do not count as overlapping.
     auto isEarlier = [](const WorkEvent& left, const WorkEvent& right) {
         bool leftStarts = left.change == WorkChange::Start;
         bool rightStarts = right.change == WorkChange::Start;
@@ -139,7 +139,7 @@
         }
         ++count;
         if (count > this->allowedRunning(event.team, event.at))
-            this->verdict.add(HistoryFault::OverLimit,
+            this->verdict.add(HistoryViolation::OverLimit,
                 "team=" + event.team + " running=" + std::to_string(count) + " call=" + event.call);
     }
 }
@@ -147,19 +147,19 @@
 int HistoryChecker::allowedRunning(const std::string& team, Instant at) const
 {
     int allowed = 0;
-    bool stated = false;
+    bool hasLimit = false;
     std::optional<OperatorEvent> before;
     for (const auto& change : this->history.changes) {
         if (change.change != OperatorChange::Limit || change.subject != team)
             continue;
-        stated = true;
+        hasLimit = true;
         if (change.at <= at - limitBound) {
             if (!before || before->at < change.at)
                 before = change;
         } else if (change.at <= at)
             allowed = std::max(allowed, change.limit);
     }
-    if (!stated)
+    if (!hasLimit)
         return std::numeric_limits<int>::max();
     return before ? std::max(allowed, before->limit) : allowed;
 }
@@ -168,7 +168,7 @@
 {
     for (const auto* start : this->starts) {
         if (this->isLeavingTooLong(*start))
-            this->verdict.add(HistoryFault::OnLeaving, "vm=" + start->vm + " call=" + start->call);
+            this->verdict.add(HistoryViolation::StartOnLeavingVm, "vm=" + start->vm + " call=" + start->call);
     }
 }
 
@@ -185,7 +185,7 @@
     return newest && newest->change == OperatorChange::VmLeaving && start.at > newest->at + leavingBound;
 }
 
-const InvokeEvent* HistoryChecker::invokeOf(const std::string& call) const
+const InvokeEvent* HistoryChecker::findInvoke(const std::string& call) const
 {
     auto found = this->invokesByCall.find(call);
     return found == this->invokesByCall.end() ? nullptr : found->second;
--- a/tests/checker/HistoryChecker.h
+++ b/tests/checker/HistoryChecker.h
@@ -14,14 +14,14 @@
 struct InvokeEvent;
 struct WorkEvent;
 
-/// Judges a history against the promises of the system.
+/// Checks a history against the guarantees of the system.
 class HistoryChecker {
 public:
-    /// How long after its withdrawal a key may still have work started.
+    /// How long after the withdrawal of a key work may still be started for it.
     static constexpr Seconds withdrawalBound { 5 };
-    /// How long after it is listed as leaving an endpoint may still start work.
+    /// How long after an endpoint is listed as leaving it may still start work.
     static constexpr Seconds leavingBound { 3 };
-    /// How long after a limit is lowered the earlier one may still be used.
+    /// How long after a limit has been lowered the earlier limit may still be in use.
     static constexpr Seconds limitBound { 8 };
 
     explicit HistoryChecker(const History&);
@@ -32,14 +32,14 @@
     using Attempts = std::vector<const InvokeEvent*>;
 
     void checkOutcomes();
-    void countSubmission(const std::string& submission, const Attempts&);
+    void classifySubmission(const std::string& submission, const Attempts&);
     void checkAnswers();
-    void checkRepeats();
+    void checkDuplicateStarts();
     void checkTeamsAndKeys();
     void checkLimits();
     void checkLeaving();
 
-    const InvokeEvent* invokeOf(const std::string& call) const;
+    const InvokeEvent* findInvoke(const std::string& call) const;
     int allowedRunning(const std::string& team, Instant at) const;
     bool isLeavingTooLong(const WorkEvent&) const;
 
--- a/tests/checker/HistoryReader.h
+++ b/tests/checker/HistoryReader.h
@@ -9,10 +9,10 @@
 
 class KeyValueLine;
 
-/// Collects the events of history files.
+/// Reads history files and collects their events.
 class HistoryReader {
 public:
-    /// Adds a file's events. The error names the file and the line that could not be read.
+    /// Adds the events of a file. The error names the file and the line that could not be parsed.
     Result<void, std::string> readFile(const std::string& path);
 
     const History& history() const { return this->collected; }
--- a/tests/checker/InvokeEvent.h
+++ b/tests/checker/InvokeEvent.h
@@ -6,14 +6,14 @@
 
 namespace Greengage {
 
-/// A caller has sent one attempt of a submission: "event=invoke".
+/// A caller has sent one attempt of a submission, recorded as "event=invoke".
 struct InvokeEvent {
-    /// Names the attempt.
+    /// Identifies the attempt.
     std::string call;
-    /// Names what the caller wants done; its attempts share it.
+    /// Identifies the submission; all its attempts share it.
     std::string submission;
     std::string queue;
-    /// Team of the key; empty for work without a key.
+    /// Team of the key; empty for requests without a key.
     std::string team;
     std::string key;
     /// Idempotency key; empty on idempotent queues.
--- a/tests/checker/OperatorEvent.h
+++ b/tests/checker/OperatorEvent.h
@@ -7,11 +7,11 @@
 
 namespace Greengage {
 
-/// What an operator or the platform has changed.
+/// What was changed by an operator or by the platform.
 enum class OperatorChange {
-    /// A key's withdrawal has been accepted.
+    /// The withdrawal of a key has been accepted.
     Withdrawn,
-    /// A team's upper limit has been accepted.
+    /// A new upper limit of a team has been accepted.
     Limit,
     VmLeaving,
     VmLive,
@@ -26,10 +26,10 @@
     } };
 };
 
-/// A change of what callers or endpoints may do.
+/// A change by an operator or the platform that affects callers or endpoints.
 struct OperatorEvent {
     OperatorChange change = OperatorChange::Limit;
-    /// The key, the team or the VM that it is about.
+    /// The key, the team or the VM that was changed.
     std::string subject;
     /// The limit, for Limit.
     int limit = 0;
--- a/tests/checker/WorkEvent.h
+++ b/tests/checker/WorkEvent.h
@@ -7,11 +7,11 @@
 
 namespace Greengage {
 
-/// What happened to work at an endpoint.
+/// What happened to work on an endpoint.
 enum class WorkChange {
     Start,
     End,
-    /// The endpoint died with the work.
+    /// The endpoint crashed while it ran the work.
     Killed,
 };
 
--- a/tests/checker/main.cpp
+++ b/tests/checker/main.cpp
@@ -8,18 +8,19 @@
 namespace {
 
 constexpr std::size_t maxDetails = 30;
-constexpr int unreadable = 2;
+constexpr int unreadableStatus = 2;
 
 } // namespace
 
-/// Prints what the histories show. Exit code 0 without faults, 1 with faults, 2 if a history cannot be read.
+/// Checks histories and prints the result. Exit code 0 without violations, 1 with violations, 2 if a history cannot be
+/// read.
 int main(int argumentCount, char** arguments)
 {
-    CLI::App app("Judges the histories that callers, endpoints and operators recorded in one run");
+    CLI::App app("Checks the histories that callers, endpoints and operators recorded in one run");
     std::vector<std::string> paths;
     std::string label = "history";
     app.add_option("histories", paths, "History files")->required();
-    app.add_option("--label", label, "Word that begins the last line");
+    app.add_option("--label", label, "Label at the beginning of the last line");
     CLI11_PARSE(app, argumentCount, arguments);
 
     Greengage::HistoryReader reader;
@@ -27,7 +28,7 @@
         auto read = reader.readFile(path);
         if (!read) {
             std::fprintf(stderr, "%s\n", read.error().c_str());
-            return unreadable;
+            return unreadableStatus;
         }
     }
     auto verdict = Greengage::HistoryChecker(reader.history()).check();
--- a/tests/checker/tests/CheckerTests.cpp
+++ b/tests/checker/tests/CheckerTests.cpp
@@ -13,7 +13,7 @@
     return std::string(SOURCE_ROOT) + "/tests/checker/golden/" + name + ".history";
 }
 
-HistoryVerdict judge(const std::string& name)
+HistoryVerdict checkGolden(const std::string& name)
 {
     HistoryReader reader;
     auto read = reader.readFile(goldenPath(name));
@@ -21,12 +21,12 @@
     return HistoryChecker(reader.history()).check();
 }
 
-/// Checks that a golden history shows one fault so often, and no other fault.
-void requireOnly(const std::string& name, HistoryFault fault, int count)
+/// Checks that a golden history shows `count` violations of one kind and none of another kind.
+void requireOnly(const std::string& name, HistoryViolation violation, int count)
 {
-    auto verdict = judge(name);
-    BOOST_TEST(verdict.count(fault) == count, name << ": " << verdict.summary());
-    BOOST_TEST(verdict.faults.size() == 1, name << ": " << verdict.summary());
+    auto verdict = checkGolden(name);
+    BOOST_TEST(verdict.count(violation) == count, name << ": " << verdict.summary());
+    BOOST_TEST(verdict.violations.size() == 1, name << ": " << verdict.summary());
 }
 
 } // namespace
@@ -35,7 +35,7 @@
 
 BOOST_AUTO_TEST_CASE(goodHistoryIsClean)
 {
-    auto verdict = judge("good");
+    auto verdict = checkGolden("good");
     BOOST_TEST(verdict.isClean(), verdict.summary());
     BOOST_TEST(verdict.answered == 7);
     BOOST_TEST(verdict.notRun == 1);
@@ -43,34 +43,40 @@
     BOOST_TEST(verdict.brokenAttempts == 1);
 }
 
-BOOST_AUTO_TEST_CASE(lostSubmissionIsCaught) { requireOnly("lost", HistoryFault::Lost, 2); }
+BOOST_AUTO_TEST_CASE(lostSubmissionIsDetected) { requireOnly("lost", HistoryViolation::Lost, 2); }
 
-BOOST_AUTO_TEST_CASE(cutAnswerIsCaught) { requireOnly("cut", HistoryFault::Cut, 1); }
+BOOST_AUTO_TEST_CASE(corruptAnswerIsDetected) { requireOnly("cut", HistoryViolation::CorruptAnswer, 1); }
 
-BOOST_AUTO_TEST_CASE(doubledWorkIsCaught) { requireOnly("doubled", HistoryFault::Doubled, 1); }
+BOOST_AUTO_TEST_CASE(duplicateStartIsDetected) { requireOnly("doubled", HistoryViolation::DuplicateStart, 1); }
 
-BOOST_AUTO_TEST_CASE(repeatedIdempotentWorkIsNoFault) { BOOST_TEST(judge("repeated_idempotent").isClean()); }
+BOOST_AUTO_TEST_CASE(repeatedIdempotentWorkIsAllowed) { BOOST_TEST(checkGolden("repeated_idempotent").isClean()); }
 
-BOOST_AUTO_TEST_CASE(falseNotRunIsCaught)
+BOOST_AUTO_TEST_CASE(falseNotRunIsDetected)
 {
-    requireOnly("false_not_run", HistoryFault::FalseNotRun, 1);
-    requireOnly("false_not_run_by_request", HistoryFault::FalseNotRun, 1);
+    requireOnly("false_not_run", HistoryViolation::FalseNotRun, 1);
+    requireOnly("false_not_run_by_request", HistoryViolation::FalseNotRun, 1);
 }
 
-BOOST_AUTO_TEST_CASE(overLimitIsCaught) { requireOnly("over_limit", HistoryFault::OverLimit, 1); }
+BOOST_AUTO_TEST_CASE(startOverLimitIsDetected) { requireOnly("over_limit", HistoryViolation::OverLimit, 1); }
 
-BOOST_AUTO_TEST_CASE(earlierLimitMayBeUsedForAWhileOnly) { requireOnly("lowered_limit", HistoryFault::OverLimit, 1); }
+BOOST_AUTO_TEST_CASE(earlierLimitMayBeUsedForAWhileOnly)
+{
+    requireOnly("lowered_limit", HistoryViolation::OverLimit, 1);
+}
 
-BOOST_AUTO_TEST_CASE(workForAWithdrawnKeyIsCaught)
+BOOST_AUTO_TEST_CASE(workForAWithdrawnKeyIsDetected)
 {
-    requireOnly("after_withdrawal", HistoryFault::AfterWithdrawal, 1);
+    requireOnly("after_withdrawal", HistoryViolation::StartAfterWithdrawal, 1);
 }
 
-BOOST_AUTO_TEST_CASE(workOnALeavingEndpointIsCaught) { requireOnly("on_leaving", HistoryFault::OnLeaving, 1); }
+BOOST_AUTO_TEST_CASE(workOnALeavingEndpointIsDetected)
+{
+    requireOnly("on_leaving", HistoryViolation::StartOnLeavingVm, 1);
+}
 
-BOOST_AUTO_TEST_CASE(workForAnotherTeamIsCaught) { requireOnly("wrong_team", HistoryFault::WrongTeam, 1); }
+BOOST_AUTO_TEST_CASE(workForAnotherTeamIsDetected) { requireOnly("wrong_team", HistoryViolation::WrongTeam, 1); }
 
-BOOST_AUTO_TEST_CASE(unreadableLineIsNamed)
+BOOST_AUTO_TEST_CASE(unparsableLineIsReported)
 {
     HistoryReader reader;
     auto read = reader.readFile(goldenPath("malformed"));
--- a/tests/demo/Demo.cpp
+++ b/tests/demo/Demo.cpp
@@ -17,13 +17,13 @@
 constexpr std::string_view waveSection = "\n[wave kernel]\nowner = platform\npools = light-preview\naction = reboot\n"
                                          "max_concurrent = 2\ndrain_timeout_seconds = 30\n";
 
-void say(const std::string& text)
+void printLine(const std::string& text)
 {
     std::printf("%s\n", text.c_str());
     std::fflush(stdout);
 }
 
-std::string count(const char* name, int value) { return std::string(" ") + name + "=" + std::to_string(value); }
+std::string formatCount(const char* name, int value) { return std::string(" ") + name + "=" + std::to_string(value); }
 
 } // namespace
 
@@ -41,23 +41,24 @@
     std::this_thread::sleep_for(beforeWithdrawal);
     this->withdrawKey();
     if (!this->site.waitForCallers(loadEndLimit)) {
-        say("callers have not ended in time");
+        printLine("callers have not ended in time");
         return false;
     }
     bool maintained = this->finishWave();
     bool stopped = this->stopAll();
-    return this->judge() && maintained && stopped;
+    return this->reportVerdict() && maintained && stopped;
 }
 
 void Demo::startSite()
 {
     this->site.startPlatform();
-    say("platform: store and " + std::to_string(this->site.layout().endpoints().size()) + " endpoints of 5 services");
+    printLine(
+        "platform: store and " + std::to_string(this->site.layout().endpoints().size()) + " endpoints of 5 services");
     this->site.document().append(std::string(waveSection));
     this->site.startDaemons();
-    say("daemons: " + std::to_string(this->site.layout().daemons().size()) + " in 4 availability zones");
+    printLine("daemons: " + std::to_string(this->site.layout().daemons().size()) + " in 4 availability zones");
     this->site.applyAsOperator();
-    say("document: applied by greengagectl, in force on every daemon");
+    printLine("document: applied by greengagectl, in force on every daemon");
 }
 
 void Demo::startLoad()
@@ -67,44 +68,45 @@
         loads.push_back(std::string("queue=") + queue + " rate=50 run_ms=400 deadline_ms=4000");
     this->site.startCallers(
         "callers", loads, loadDuration, { "--burst-ms", "1500", "--seed", std::to_string(this->seed) });
-    say("callers: five queues, each in turn at five times its mean");
+    printLine("callers: five queues, each in turn at five times its mean");
 }
 
 void Demo::startWave()
 {
     this->site.startWaveAsOperator(waveName);
-    say(std::string("wave: ") + waveName + " started by greengagectl, reboots the 8 VMs of pool light-preview");
+    printLine(std::string("wave: ") + waveName + " started by greengagectl, reboots the 8 VMs of pool light-preview");
 }
 
 void Demo::withdrawKey()
 {
     this->site.withdrawAsOperator(std::string(withdrawnKey));
-    say("key: " + std::string(withdrawnKey) + " withdrawn by greengagectl");
+    printLine("key: " + std::string(withdrawnKey) + " withdrawn by greengagectl");
 }
 
 bool Demo::finishWave()
 {
     bool done = this->site.waitForWave(waveName, waveLimit);
-    say(std::string("wave: ") + waveName + (done ? " done, every VM rebooted" : " not done in time"));
+    printLine(std::string("wave: ") + waveName + (done ? " done, every VM rebooted" : " not done in time"));
     return done;
 }
 
 bool Demo::stopAll()
 {
     bool stopped = this->site.stopDaemons(stopLimit);
-    say(stopped ? "daemons: all stopped gracefully" : "daemons: not all stopped gracefully");
+    printLine(stopped ? "daemons: all stopped gracefully" : "daemons: not all stopped gracefully");
     return stopped;
 }
 
-bool Demo::judge() const
+bool Demo::reportVerdict() const
 {
     auto verdict = this->site.verdict();
     for (const auto& detail : verdict.details)
-        say(detail);
-    say("history: " + verdict.summary());
-    say("demo:" + count("answered", verdict.answered) + count("not_run", verdict.notRun)
-        + count("unknown", verdict.unknown) + count("lost", verdict.count(HistoryFault::Lost))
-        + count("cut", verdict.count(HistoryFault::Cut)) + count("doubled", verdict.count(HistoryFault::Doubled)));
+        printLine(detail);
+    printLine("history: " + verdict.summary());
+    printLine("demo:" + formatCount("answered", verdict.answered) + formatCount("not_run", verdict.notRun)
+        + formatCount("unknown", verdict.unknown) + formatCount("lost", verdict.count(HistoryViolation::Lost))
+        + formatCount("cut", verdict.count(HistoryViolation::CorruptAnswer))
+        + formatCount("doubled", verdict.count(HistoryViolation::DuplicateStart)));
     return verdict.isClean() && verdict.answered > 0;
 }
 
--- a/tests/demo/Demo.h
+++ b/tests/demo/Demo.h
@@ -6,13 +6,14 @@
 
 namespace Greengage {
 
-/// One run of a whole site: seven daemons in four availability zones, five services, callers in bursts, a maintenance
-/// wave, a key that is withdrawn and a graceful stop.
+/// One run of a complete site: seven daemons in four availability zones, five services, callers in bursts, a
+/// maintenance wave, a key that is withdrawn and a graceful stop.
 class Demo {
 public:
     explicit Demo(std::uint64_t seed);
 
-    /// Runs everything and prints what happens, last of all the verdict. Tells whether every promise was kept.
+    /// Runs the demo and prints its progress and finally the result of the history check. Returns whether all
+    /// guarantees held, the wave was done in time and all daemons stopped gracefully.
     bool run();
 
 private:
@@ -22,7 +23,7 @@
     void withdrawKey();
     bool finishWave();
     bool stopAll();
-    bool judge() const;
+    bool reportVerdict() const;
 
     std::uint64_t seed;
     Site site;
--- a/tests/standins/tests/CallerTests.cpp
+++ b/tests/standins/tests/CallerTests.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// Callers against a daemon that answers as each test says.
+/// Callers and a simulated daemon whose answers each test defines.
 class CallerFixture {
 public:
     CallerFixture()
@@ -24,23 +24,23 @@
         , daemon(this->loop, "127.1.1.1", this->port, [this](evhttp_request* request) { this->handle(request); })
     {
         if (!this->daemon.listen())
-            throw std::runtime_error("cannot listen");
+            throw std::runtime_error("the simulated daemon cannot listen on 127.1.1.1");
     }
 
     ~CallerFixture() { std::filesystem::remove(this->path); }
 
-    /// Runs callers for a short while with one load and judges their history.
+    /// Runs callers with one load for a short while and checks their history.
     HistoryVerdict run(bool idempotent)
     {
-        CallerOptions settings;
-        settings.daemons = { { "127.1.1.1", this->port } };
-        settings.sources = { "127.4.1.1" };
-        settings.loads = { CallerLoad::parse("queue=quotes team=booking bearer=k1.secret rate=100").value() };
-        settings.loads[0].idempotent = idempotent;
-        settings.loads[0].attemptLimit = this->attemptLimit;
-        settings.historyPath = this->path.string();
-        settings.duration = Milliseconds(200);
-        CallerProcess process(this->loop, settings);
+        CallerOptions options;
+        options.daemons = { { "127.1.1.1", this->port } };
+        options.sources = { "127.4.1.1" };
+        options.loads = { CallerLoad::parse("queue=quotes team=booking bearer=k1.secret rate=100").value() };
+        options.loads[0].idempotent = idempotent;
+        options.loads[0].attemptLimit = this->attemptLimit;
+        options.historyPath = this->path.string();
+        options.duration = Milliseconds(200);
+        CallerProcess process(this->loop, options);
         process.start();
         this->loop.run();
         this->submitted = static_cast<int>(process.submissionCount());
@@ -93,17 +93,17 @@
     BOOST_TEST(this->keys[0].empty());
 }
 
-BOOST_AUTO_TEST_CASE(seesForeignAndShortAnswers)
+BOOST_AUTO_TEST_CASE(detectsForeignAndTruncatedAnswers)
 {
     this->behave = [this](evhttp_request* request) {
         auto own = WorkOrder::answerFor(HttpReplies::body(request));
         this->answer(request, "answered", 200, this->attempts % 2 == 0 ? own.substr(1) : "another's answer");
     };
     auto verdict = this->run(true);
-    BOOST_TEST(verdict.count(HistoryFault::Cut) == this->submitted);
+    BOOST_TEST(verdict.count(HistoryViolation::CorruptAnswer) == this->submitted);
 }
 
-BOOST_AUTO_TEST_CASE(triesAgainAfterARefusal)
+BOOST_AUTO_TEST_CASE(retriesAfterARefusal)
 {
     this->behave = [this](evhttp_request* request) {
         bool first = HttpReplies::body(request).find(".1 ") != std::string::npos;
