--- a/tests/standins/caller/CallerOptions.h
+++ b/tests/standins/caller/CallerOptions.h
@@ -10,18 +10,19 @@
 
 namespace Greengage {
 
-/// Everything that one run of the caller stand-in is told.
+/// The options of one run of the caller stand-in.
 struct CallerOptions {
     std::vector<DaemonAddress> daemons;
-    /// Local addresses that connections are bound to, taken in turn.
+    /// Local addresses that connections are bound to, used in rotation.
     std::vector<std::string> sources;
     std::vector<CallerLoad> loads;
     std::string historyPath;
     std::uint64_t seed = 1;
     Milliseconds duration { 10000 };
-    /// How long each load in turn asks for five times its mean; zero for a steady rate.
+    /// The loads take turns at bursting: for this long, one of them submits at five times its mean rate. Zero for a
+    /// steady rate.
     Milliseconds burst {};
-    /// Begins the names of this process's submissions.
+    /// Prefix of the names of this process's submissions.
     std::string name = "c";
 };
 
--- a/tests/standins/caller/CallerProcess.cpp
+++ b/tests/standins/caller/CallerProcess.cpp
@@ -18,9 +18,9 @@
 constexpr int maxAttempts = 8;
 constexpr Milliseconds retryPause { 100 };
 constexpr Milliseconds maxRetryPause { 1000 };
-/// How much longer than the request's deadline a caller waits for an answer.
+/// How long after the request's deadline a caller still waits for an answer.
 constexpr Milliseconds answerGrace { 3000 };
-constexpr Milliseconds doneInterval { 20 };
+constexpr Milliseconds completionCheckInterval { 20 };
 constexpr std::array<int, 6> finalStatuses { 400, 401, 404, 405, 409, 413 };
 
 SeenOutcome toSeenOutcome(const HttpAnswer& answer)
@@ -41,48 +41,48 @@
 
 } // namespace
 
-CallerProcess::CallerProcess(Loop& loop, CallerOptions settings)
+CallerProcess::CallerProcess(Loop& loop, CallerOptions options)
     : loop(loop)
-    , settings(std::move(settings))
-    , history(this->settings.historyPath)
-    , random(this->settings.seed)
+    , options(std::move(options))
+    , history(this->options.historyPath)
+    , random(this->options.seed)
 {
-    for (const auto& source : this->settings.sources)
+    for (const auto& source : this->options.sources)
         this->clients.push_back(std::make_unique<HttpClient>(loop.base(), source));
 }
 
 void CallerProcess::start()
 {
     this->begin = BootClock::now();
-    this->end = Deadline::after(this->begin, this->settings.duration);
-    for (std::size_t load = 0; load < this->settings.loads.size(); ++load)
+    this->end = Deadline::after(this->begin, this->options.duration);
+    for (std::size_t load = 0; load < this->options.loads.size(); ++load)
         this->scheduleNext(load);
     this->stopIfDone();
 }
 
 void CallerProcess::stopIfDone()
 {
-    if (this->end.hasPassed(BootClock::now()) && this->open == 0) {
+    if (this->end.hasPassed(BootClock::now()) && this->openSubmissions == 0) {
         this->loop.stop();
         return;
     }
-    this->loop.callLater(doneInterval, [this] { this->stopIfDone(); });
+    this->loop.callLater(completionCheckInterval, [this] { this->stopIfDone(); });
 }
 
-double CallerProcess::rateNow(std::size_t load) const
+double CallerProcess::currentRate(std::size_t load) const
 {
-    auto mean = this->settings.loads[load].rate;
-    if (this->settings.burst == Milliseconds::zero())
+    auto mean = this->options.loads[load].rate;
+    if (this->options.burst == Milliseconds::zero())
         return mean;
-    auto turn = static_cast<std::size_t>((BootClock::now() - this->begin) / this->settings.burst);
-    return mean * (turn % this->settings.loads.size() == load ? burstFactor : quietFactor);
+    auto turn = static_cast<std::size_t>((BootClock::now() - this->begin) / this->options.burst);
+    return mean * (turn % this->options.loads.size() == load ? burstFactor : quietFactor);
 }
 
 void CallerProcess::scheduleNext(std::size_t load)
 {
-    std::exponential_distribution<double> gap(this->rateNow(load));
-    // A quiet load looks again at its rate in time for its next burst.
-    auto longest = this->settings.burst == Milliseconds::zero() ? Milliseconds(1000) : this->settings.burst / 4;
+    std::exponential_distribution<double> gap(this->currentRate(load));
+    // A load outside its burst has long gaps, so it draws again often enough not to miss the start of its next burst.
+    auto longest = this->options.burst == Milliseconds::zero() ? Milliseconds(1000) : this->options.burst / 4;
     auto drawn = Microseconds(static_cast<long long>(std::min(gap(this->random), 1e3) * 1e6));
     bool submits = drawn <= longest;
     this->loop.callLater(std::min<Microseconds>(drawn, longest), [this, load, submits] {
@@ -97,13 +97,13 @@
 void CallerProcess::submit(std::size_t load)
 {
     auto submission = std::make_shared<Submission>();
-    submission->load = &this->settings.loads[load];
-    submission->name = this->settings.name + "-" + std::to_string(++this->submitted);
+    submission->load = &this->options.loads[load];
+    submission->name = this->options.name + "-" + std::to_string(++this->submitted);
     auto mean = submission->load->runMilliseconds;
     submission->runMilliseconds = std::uniform_int_distribution<int>(mean / 2, mean + mean / 2)(this->random);
     submission->deadline = Deadline::after(BootClock::now(), submission->load->deadline);
-    submission->daemon = this->settings.daemons.size();
-    ++this->open;
+    submission->daemon = this->options.daemons.size();
+    ++this->openSubmissions;
     this->attempt(submission);
 }
 
@@ -118,13 +118,14 @@
     auto body = order.toBody(submission->load->bodyBytes);
     this->recordInvoke(*submission);
     auto& client = this->clients[this->submitted % this->clients.size()];
-    client->send(this->makeCall(*submission, body),
-        [this, submission, body](Result<HttpAnswer, HttpFailure> outcome) { this->ended(submission, body, outcome); });
+    client->send(this->makeCall(*submission, body), [this, submission, body](Result<HttpAnswer, HttpFailure> outcome) {
+        this->handleOutcome(submission, body, outcome);
+    });
 }
 
 void CallerProcess::chooseDaemon(Submission& submission)
 {
-    auto count = this->settings.daemons.size();
+    auto count = this->options.daemons.size();
     auto chosen = std::uniform_int_distribution<std::size_t>(0, count - 1)(this->random);
     if (chosen == submission.daemon)
         chosen = (chosen + 1) % count;
@@ -133,7 +134,7 @@
 
 HttpCall CallerProcess::makeCall(const Submission& submission, const std::string& body) const
 {
-    const auto& daemon = this->settings.daemons[submission.daemon];
+    const auto& daemon = this->options.daemons[submission.daemon];
     auto remaining = std::chrono::duration_cast<Milliseconds>(submission.deadline.remaining(BootClock::now()));
     remaining = std::max(remaining, Milliseconds(1));
     HttpCall call;
@@ -152,7 +153,7 @@
     return call;
 }
 
-void CallerProcess::ended(
+void CallerProcess::handleOutcome(
     const SubmissionPointer& submission, const std::string& body, const Result<HttpAnswer, HttpFailure>& outcome)
 {
     if (outcome) {
@@ -174,7 +175,7 @@
     auto pause = retryPauseOf(answer);
     auto next = BootClock::now() + pause;
     if (isFinal || submission->attempts >= maxAttempts || submission->deadline.hasPassed(next)) {
-        --this->open;
+        --this->openSubmissions;
         return;
     }
     this->loop.callLater(pause, [this, submission] { this->attempt(submission); });
@@ -183,7 +184,7 @@
 void CallerProcess::recordInvoke(const Submission& submission)
 {
     const auto& load = *submission.load;
-    const auto& daemon = this->settings.daemons[submission.daemon];
+    const auto& daemon = this->options.daemons[submission.daemon];
     this->history.append(LogLine("invoke")
                              .add("call", submission.name + "." + std::to_string(submission.attempts))
                              .add("submission", submission.name)
--- a/tests/standins/caller/CallerProcess.h
+++ b/tests/standins/caller/CallerProcess.h
@@ -14,12 +14,13 @@
 
 class Loop;
 
-/// Submits work at the loads' rates to the daemons, retries as the protocol allows, and records what it sees.
+/// Submits work to the daemons at the rates of the loads, retries as the protocol allows, and records each attempt and
+/// its outcome in the history.
 class CallerProcess {
 public:
     CallerProcess(Loop&, CallerOptions);
 
-    /// Begins to submit. When the duration has passed and every submission has ended, the loop is stopped.
+    /// Starts submitting. Stops the loop once the duration has passed and every submission has ended.
     void start();
 
     std::size_t submissionCount() const { return this->submitted; }
@@ -28,26 +29,26 @@
     using SubmissionPointer = std::shared_ptr<Submission>;
 
     void scheduleNext(std::size_t load);
-    double rateNow(std::size_t load) const;
+    double currentRate(std::size_t load) const;
     void submit(std::size_t load);
     void attempt(const SubmissionPointer&);
     HttpCall makeCall(const Submission&, const std::string& body) const;
     void chooseDaemon(Submission&);
-    void ended(const SubmissionPointer&, const std::string& body, const Result<HttpAnswer, HttpFailure>&);
+    void handleOutcome(const SubmissionPointer&, const std::string& body, const Result<HttpAnswer, HttpFailure>&);
     void retryOrEnd(const SubmissionPointer&, SeenOutcome, const HttpAnswer*);
     void recordInvoke(const Submission&);
     void recordAnswer(const Submission&, SeenOutcome, const std::string& body, const HttpAnswer*);
     void stopIfDone();
 
     Loop& loop;
-    CallerOptions settings;
+    CallerOptions options;
     HistoryFile history;
     std::mt19937_64 random;
     std::vector<std::unique_ptr<HttpClient>> clients;
     Instant begin;
     Deadline end;
     std::size_t submitted = 0;
-    std::size_t open = 0;
+    std::size_t openSubmissions = 0;
 };
 
 } // namespace Greengage
--- a/tests/standins/caller/DaemonAddress.h
+++ b/tests/standins/caller/DaemonAddress.h
@@ -5,7 +5,7 @@
 
 namespace Greengage {
 
-/// Where a daemon takes callers.
+/// The address and port on which a daemon accepts callers.
 struct DaemonAddress {
     std::string address;
     std::uint16_t port = 0;
--- a/tests/standins/common/HistoryFile.h
+++ b/tests/standins/common/HistoryFile.h
@@ -7,11 +7,11 @@
 
 class LogLine;
 
-/// A file to which events are appended, one key=value line each. Lines of several processes may share one file: each
-/// line is one write.
+/// A file to which events are appended, each as one line of key=value pairs. Several processes may share one file,
+/// since each line is a single write in append mode.
 class HistoryFile {
 public:
-    /// With an empty path, lines are dropped. A file that cannot be opened ends the process.
+    /// With an empty path, lines are discarded. If the file cannot be opened, the process exits.
     explicit HistoryFile(const std::string& path);
     ~HistoryFile();
 
@@ -20,7 +20,7 @@
 
     void append(const LogLine&);
 
-    /// The boot clock's microseconds, as histories show instants.
+    /// The present time as histories record it: microseconds of the boot clock.
     static long long now();
 
 private:
--- a/tests/standins/common/HttpReplies.cpp
+++ b/tests/standins/common/HttpReplies.cpp
@@ -58,7 +58,7 @@
     auto settings = parseJsonObject(body(request));
     try {
         if (!settings)
-            throw Json::RuntimeError("body is no JSON object");
+            throw Json::RuntimeError("body is not a JSON object");
         apply(*settings);
         json(request, Json::objectValue);
     } catch (const Json::Exception& error) {
--- a/tests/standins/common/HttpService.cpp
+++ b/tests/standins/common/HttpService.cpp
@@ -21,7 +21,7 @@
     , handler(std::move(handler))
     , server(evhttp_new(&loop.base()))
 {
-    assertInvariant(this->server, "evhttp makes a server");
+    assertInvariant(this->server, "evhttp_new returns a server");
     evhttp_set_timeout(this->server, idleTimeoutSeconds);
     evhttp_set_max_headers_size(this->server, maxHeaderBytes);
     evhttp_set_max_body_size(this->server, maxBodyBytes);
--- a/tests/standins/common/HttpService.h
+++ b/tests/standins/common/HttpService.h
@@ -12,7 +12,7 @@
 
 class Loop;
 
-/// An HTTP server on one address whose listening socket can be closed and opened again.
+/// An HTTP server on one address whose listening socket can be closed and reopened.
 class HttpService {
 public:
     using Handler = std::function<void(evhttp_request*)>;
@@ -23,10 +23,10 @@
     HttpService(const HttpService&) = delete;
     HttpService& operator=(const HttpService&) = delete;
 
-    /// Tells whether the address could be bound. Listening already is success.
+    /// Returns whether the address could be bound; true if the service is listening already.
     bool listen();
 
-    /// New connections are refused until `listen` is called again. Open connections stay.
+    /// Refuses new connections until `listen` is called again. Open connections stay open.
     void stopListening();
 
 private:
--- a/tests/standins/common/JsonText.h
+++ b/tests/standins/common/JsonText.h
@@ -6,10 +6,10 @@
 
 namespace Greengage {
 
-/// The JSON object in the text, or nothing.
+/// Parses a JSON object; nothing if the text is anything else.
 std::optional<Json::Value> parseJsonObject(const std::string& text);
 
-/// JSON on one line.
+/// Formats JSON on a single line.
 std::string toJsonText(const Json::Value&);
 
 } // namespace Greengage
--- a/tests/standins/common/KeyValueLine.cpp
+++ b/tests/standins/common/KeyValueLine.cpp
@@ -8,7 +8,8 @@
 
 constexpr std::size_t hexEscapeLength = 4;
 
-/// Reads the rest of a quoted value; `position` stands after the opening quote and is left after the closing one.
+/// Reads the rest of a quoted value. `position` is just after the opening quote on entry and just after the closing one
+/// on return.
 std::optional<std::string> readQuoted(const std::string& line, std::size_t& position)
 {
     std::string value;
--- a/tests/standins/common/Loop.cpp
+++ b/tests/standins/common/Loop.cpp
@@ -32,7 +32,7 @@
 Loop::Loop()
     : eventBase(event_base_new())
 {
-    assertInvariant(this->eventBase, "libevent makes a loop");
+    assertInvariant(this->eventBase, "event_base_new returns an event loop");
     std::signal(SIGPIPE, SIG_IGN);
 }
 
--- a/tests/standins/common/Loop.h
+++ b/tests/standins/common/Loop.h
@@ -10,7 +10,7 @@
 
 namespace Greengage {
 
-/// The event loop of a stand-in. SIGTERM and SIGINT end it.
+/// The event loop of a stand-in.
 class Loop {
 public:
     Loop();
@@ -21,17 +21,17 @@
 
     event_base& base() const { return *this->eventBase; }
 
-    /// Runs until `stop` or a signal.
+    /// Runs until `stop` is called or a signal of `stopOnSignals` arrives.
     void run();
     void stop();
 
-    /// Runs until the condition holds or the time is up; tells whether it holds.
+    /// Runs until the condition holds or the limit has passed; returns whether it holds.
     bool runUntil(const std::function<bool()>& condition, Milliseconds limit);
 
-    /// Calls the function once from the loop.
+    /// Calls the function once from the loop after the delay.
     void callLater(Microseconds delay, std::function<void()>);
 
-    /// Stops on SIGTERM and SIGINT.
+    /// Makes SIGTERM and SIGINT stop the loop.
     void stopOnSignals();
 
 private:
--- a/tests/standins/minion/Endpoint.cpp
+++ b/tests/standins/minion/Endpoint.cpp
@@ -44,10 +44,10 @@
         HttpReplies::closeSilently(this->loop, request);
         return;
     }
-    if (this->silentConnections.contains(connection))
+    if (this->unresponsiveConnections.contains(connection))
         return;
     if (this->faults.frozen)
-        this->unserved.push_back(request);
+        this->deferredRequests.push_back(request);
     else
         this->serve(request);
 }
@@ -57,7 +57,7 @@
     if (!this->connections.contains(connection) && this->connections.size() >= this->settings.connections)
         return false;
     this->connections.insert(connection);
-    evhttp_connection_set_closecb(connection, connectionClosed, this);
+    evhttp_connection_set_closecb(connection, handleConnectionClosed, this);
     return true;
 }
 
@@ -65,13 +65,13 @@
 {
     auto path = HttpReplies::path(request);
     echoRequestId(request);
-    auto meant = HttpReplies::header(request, "Greengage-Endpoint");
+    auto intendedVm = HttpReplies::header(request, "Greengage-Endpoint");
     if (path == "/running")
         this->reportRunning(request);
     else if (path != "/run")
-        HttpReplies::text(request, HTTP_NOTFOUND, "no such call");
-    else if (!meant.empty() && meant != this->settings.vm)
-        HttpReplies::text(request, misdirectedStatus, "this is " + this->settings.vm);
+        HttpReplies::text(request, HTTP_NOTFOUND, "unknown path " + path);
+    else if (!intendedVm.empty() && intendedVm != this->settings.vm)
+        HttpReplies::text(request, misdirectedStatus, "this is " + this->settings.vm + ", not " + intendedVm);
     else if (this->faults.leaving || this->running.size() >= this->settings.slots) {
         ++this->refused;
         HttpReplies::text(request, HTTP_SERVUNAVAIL, this->faults.leaving ? "leaving" : "slots full");
@@ -104,7 +104,7 @@
     if (found == this->running.end())
         return;
     if (this->faults.frozen) {
-        this->unfinished.push_back(number);
+        this->deferredJobs.push_back(number);
         return;
     }
     auto job = std::move(found->second);
@@ -114,37 +114,37 @@
         this->answer(job);
         return;
     }
-    this->ended.emplace(number, std::move(job));
-    this->loop.callLater(this->faults.answerDelay, [this, number] { this->answerLate(number); });
+    this->awaitingAnswer.emplace(number, std::move(job));
+    this->loop.callLater(this->faults.answerDelay, [this, number] { this->sendDelayedAnswer(number); });
 }
 
-void Endpoint::answerLate(std::uint64_t number)
+void Endpoint::sendDelayedAnswer(std::uint64_t number)
 {
-    auto entry = this->ended.extract(number);
+    auto entry = this->awaitingAnswer.extract(number);
     if (entry)
         this->answer(entry.mapped());
 }
 
 void Endpoint::answer(RunningJob& job)
 {
-    if (!job.exchange || this->isMute(job.exchange))
+    if (!job.exchange || this->cannotAnswer(job.exchange))
         return;
     auto body = WorkOrder::answerFor(job.body);
-    if (this->faults.dieInNextAnswer || this->faults.answersToTruncate > 0) {
+    if (this->faults.crashInNextAnswer || this->faults.answersToTruncate > 0) {
         HttpReplies::truncated(this->loop, job.exchange, job.request, body, body.size() / 2);
         this->connections.erase(evhttp_request_get_connection(job.exchange));
         this->faults.answersToTruncate = std::max(0, this->faults.answersToTruncate - 1);
-        if (this->faults.dieInNextAnswer)
-            this->die();
+        if (this->faults.crashInNextAnswer)
+            this->crash();
         return;
     }
     HttpReplies::text(job.exchange, HTTP_OK, body);
 }
 
-bool Endpoint::isMute(evhttp_request* request) const
+bool Endpoint::cannotAnswer(evhttp_request* request) const
 {
     auto* connection = evhttp_request_get_connection(request);
-    return !connection || !this->connections.contains(connection) || this->silentConnections.contains(connection);
+    return !connection || !this->connections.contains(connection) || this->unresponsiveConnections.contains(connection);
 }
 
 void Endpoint::reportRunning(evhttp_request* request)
@@ -172,19 +172,19 @@
                              .add("call", job.call));
 }
 
-void Endpoint::connectionClosed(evhttp_connection* connection, void* context)
+void Endpoint::handleConnectionClosed(evhttp_connection* connection, void* context)
 {
-    static_cast<Endpoint*>(context)->forget(connection);
+    static_cast<Endpoint*>(context)->removeConnection(connection);
 }
 
-void Endpoint::forget(evhttp_connection* connection)
+void Endpoint::removeConnection(evhttp_connection* connection)
 {
     this->connections.erase(connection);
-    this->silentConnections.erase(connection);
+    this->unresponsiveConnections.erase(connection);
     auto isOfConnection
         = [connection](evhttp_request* request) { return evhttp_request_get_connection(request) == connection; };
-    std::erase_if(this->unserved, isOfConnection);
-    for (auto* jobs : { &this->running, &this->ended }) {
+    std::erase_if(this->deferredRequests, isOfConnection);
+    for (auto* jobs : { &this->running, &this->awaitingAnswer }) {
         for (auto& [number, job] : *jobs) {
             if (job.exchange && isOfConnection(job.exchange))
                 job.exchange = nullptr;
@@ -196,17 +196,17 @@
 {
     this->faults.leaving = json.get("leaving", this->faults.leaving).asBool();
     this->faults.answersToTruncate = json.get("truncateAnswers", this->faults.answersToTruncate).asInt();
-    this->faults.dieInNextAnswer = json.get("dieInNextAnswer", this->faults.dieInNextAnswer).asBool();
+    this->faults.crashInNextAnswer = json.get("dieInNextAnswer", this->faults.crashInNextAnswer).asBool();
     if (json.isMember("answerDelayMs"))
         this->faults.answerDelay = Milliseconds(json["answerDelayMs"].asInt());
     if (json.isMember("runMs"))
         this->settings.runTime = Milliseconds(json["runMs"].asInt());
     if (json.get("silenceConnections", false).asBool())
-        this->silentConnections = this->connections;
+        this->unresponsiveConnections = this->connections;
     if (json.isMember("frozen"))
         this->setFrozen(json["frozen"].asBool());
     if (json.get("die", false).asBool())
-        this->die();
+        this->crash();
     if (json.get("revive", false).asBool())
         this->service.listen();
 }
@@ -216,25 +216,25 @@
     this->faults.frozen = frozen;
     if (frozen)
         return;
-    for (auto number : std::exchange(this->unfinished, {}))
+    for (auto number : std::exchange(this->deferredJobs, {}))
         this->finish(number);
-    for (auto* request : std::exchange(this->unserved, {}))
+    for (auto* request : std::exchange(this->deferredRequests, {}))
         this->serve(request);
 }
 
-void Endpoint::die()
+void Endpoint::crash()
 {
-    ++this->deaths;
+    ++this->crashes;
     this->service.stopListening();
     for (const auto& [number, job] : this->running)
         this->record("killed", job);
     this->running.clear();
-    this->ended.clear();
-    this->unserved.clear();
-    this->unfinished.clear();
-    this->faults.dieInNextAnswer = false;
+    this->awaitingAnswer.clear();
+    this->deferredRequests.clear();
+    this->deferredJobs.clear();
+    this->faults.crashInNextAnswer = false;
     auto closing = std::exchange(this->connections, {});
-    this->silentConnections.clear();
+    this->unresponsiveConnections.clear();
     this->loop.callLater(Microseconds::zero(), [closing] {
         for (auto* connection : closing)
             evhttp_connection_free(connection);
@@ -248,7 +248,7 @@
     json["running"] = Json::UInt64(this->running.size());
     json["mostRunning"] = Json::UInt64(this->mostRunning);
     json["started"] = Json::UInt64(this->started);
-    json["deaths"] = this->deaths;
+    json["deaths"] = this->crashes;
     json["refused"] = Json::UInt64(this->refused);
     json["connections"] = Json::UInt64(this->connections.size());
     return json;
--- a/tests/standins/minion/Endpoint.h
+++ b/tests/standins/minion/Endpoint.h
@@ -17,7 +17,8 @@
 class HistoryFile;
 class Loop;
 
-/// One endpoint VM: runs work in slots, reports what is running, and fails as told.
+/// One endpoint VM: runs work in a limited number of slots, reports what is running, and simulates the failures that
+/// control calls switch on.
 class Endpoint {
 public:
     Endpoint(Loop&, HistoryFile&, EndpointSettings);
@@ -25,8 +26,8 @@
     bool start();
     const std::string& vm() const { return this->settings.vm; }
 
-    /// Changes what the JSON object names: frozen, leaving, truncateAnswers, dieInNextAnswer, answerDelayMs, runMs,
-    /// silenceConnections (open connections stay open and nothing more comes out of them), die, revive.
+    /// Applies the members that the JSON object has: frozen, leaving, truncateAnswers, dieInNextAnswer, answerDelayMs,
+    /// runMs, silenceConnections (open connections stay open but get no more answers), die, revive.
     void applyControl(const Json::Value&);
 
     Json::Value describe() const;
@@ -37,32 +38,32 @@
     void run(evhttp_request*);
     void finish(std::uint64_t job);
     void answer(RunningJob&);
-    void answerLate(std::uint64_t job);
+    void sendDelayedAnswer(std::uint64_t job);
     void reportRunning(evhttp_request*);
     void record(const char* event, const RunningJob&);
     bool admitConnection(evhttp_connection*);
-    void forget(evhttp_connection*);
-    bool isMute(evhttp_request*) const;
+    void removeConnection(evhttp_connection*);
+    bool cannotAnswer(evhttp_request*) const;
     void setFrozen(bool);
-    void die();
-    static void connectionClosed(evhttp_connection*, void*);
+    void crash();
+    static void handleConnectionClosed(evhttp_connection*, void*);
 
     Loop& loop;
     HistoryFile& history;
     EndpointSettings settings;
     EndpointFaults faults;
     std::set<evhttp_connection*> connections;
-    std::set<evhttp_connection*> silentConnections;
+    std::set<evhttp_connection*> unresponsiveConnections;
     std::map<std::uint64_t, RunningJob> running;
-    /// Jobs whose work has ended and whose answers are delayed.
-    std::map<std::uint64_t, RunningJob> ended;
-    /// What a frozen endpoint does when it wakes: requests to serve and jobs to end.
-    std::vector<evhttp_request*> unserved;
-    std::vector<std::uint64_t> unfinished;
+    /// Jobs whose work has ended and whose answers are delayed, by number.
+    std::map<std::uint64_t, RunningJob> awaitingAnswer;
+    /// Requests that arrived and jobs whose run time ended while the endpoint was frozen; handled when it is unfrozen.
+    std::vector<evhttp_request*> deferredRequests;
+    std::vector<std::uint64_t> deferredJobs;
     std::uint64_t lastJob = 0;
     std::uint64_t started = 0;
     std::uint64_t refused = 0;
-    int deaths = 0;
+    int crashes = 0;
     std::size_t mostRunning = 0;
     HttpService service;
 };
--- a/tests/standins/minion/EndpointFaults.h
+++ b/tests/standins/minion/EndpointFaults.h
@@ -4,17 +4,18 @@
 
 namespace Greengage {
 
-/// The failures that one endpoint shows at present.
+/// The failures that one endpoint simulates at present.
 struct EndpointFaults {
-    /// Requests are taken and neither run nor answered until this ends; then they run, as in a process that was paused.
+    /// Requests are accepted but neither run nor answered until this is reset; then they run, as in a process that was
+    /// suspended and continued.
     bool frozen = false;
-    /// Work is refused with 503.
+    /// New work is refused with status 503.
     bool leaving = false;
-    /// How many of the next answers are cut short.
+    /// How many of the next answers are truncated.
     int answersToTruncate = 0;
-    /// Whether the endpoint dies in the middle of its next answer.
-    bool dieInNextAnswer = false;
-    /// Time between the end of work and its answer.
+    /// Whether the endpoint crashes in the middle of its next answer.
+    bool crashInNextAnswer = false;
+    /// Delay between the end of the work and its answer.
     Milliseconds answerDelay {};
 };
 
--- a/tests/standins/minion/EndpointSettings.h
+++ b/tests/standins/minion/EndpointSettings.h
@@ -8,14 +8,14 @@
 
 namespace Greengage {
 
-/// One endpoint of the minion stand-in.
+/// Identity, address and capacity of one endpoint of the minion stand-in.
 struct EndpointSettings {
     std::string vm;
     std::string address;
     std::uint16_t port = 0;
     std::size_t slots = 8;
     std::size_t connections = 64;
-    /// Run time of work whose body names none.
+    /// Run time of work whose request gives none.
     Milliseconds runTime { 20 };
 };
 
--- a/tests/standins/minion/MinionProcess.cpp
+++ b/tests/standins/minion/MinionProcess.cpp
@@ -14,8 +14,8 @@
     : history(historyPath)
     , control(loop, controlAddress, controlPort, [this](evhttp_request* request) { this->handleControl(request); })
 {
-    for (const auto& one : settings)
-        this->endpoints.push_back(std::make_unique<Endpoint>(loop, this->history, one));
+    for (const auto& endpointSettings : settings)
+        this->endpoints.push_back(std::make_unique<Endpoint>(loop, this->history, endpointSettings));
 }
 
 bool MinionProcess::start()
@@ -36,7 +36,7 @@
     }
     auto settings = parseJsonObject(HttpReplies::body(request));
     if (!settings || !(*settings)["vm"].isString()) {
-        HttpReplies::text(request, HTTP_BADREQUEST, "body is no JSON object with a vm");
+        HttpReplies::text(request, HTTP_BADREQUEST, "body is not a JSON object with a string \"vm\"");
         return;
     }
     auto vm = (*settings)["vm"].asString();
--- a/tests/standins/minion/MinionProcess.h
+++ b/tests/standins/minion/MinionProcess.h
@@ -12,17 +12,17 @@
 
 class Loop;
 
-/// The endpoints of one process, and the address that controls them.
+/// The endpoints of one process and the HTTP service that controls them.
 class MinionProcess {
 public:
     MinionProcess(Loop&, const std::string& controlAddress, std::uint16_t controlPort, const std::string& historyPath,
         const std::vector<EndpointSettings>&);
 
-    /// Tells whether all addresses could be bound.
+    /// Returns whether all addresses could be bound.
     bool start();
 
 private:
-    /// POST /control {"vm": id or "*", settings of Endpoint::applyControl}; GET /control/state.
+    /// Handles POST /control {"vm": id or "*", members of Endpoint::applyControl} and GET /control/state.
     void handleControl(evhttp_request*);
 
     HistoryFile history;
--- a/tests/standins/minion/RunningJob.h
+++ b/tests/standins/minion/RunningJob.h
@@ -13,7 +13,7 @@
     std::string incarnation;
     std::string call;
     std::string body;
-    /// The exchange to answer; null once its connection is closed.
+    /// The request to answer; null once its connection is closed.
     evhttp_request* exchange = nullptr;
 };
 
--- a/tests/standins/minion/main.cpp
+++ b/tests/standins/minion/main.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 
-/// Reads "vm=address:port"; exits with a message if it is something else.
+/// Parses "vm=address:port"; exits with a message if the text has another form.
 Greengage::EndpointSettings toEndpoint(const std::string& text)
 {
     auto equals = text.find('=');
     auto colon = text.rfind(':');
     if (equals == std::string::npos || colon == std::string::npos || colon < equals) {
-        std::fprintf(stderr, "endpoint \"%s\" is not vm=address:port\n", text.c_str());
+        std::fprintf(stderr, "--endpoint \"%s\" is not of the form vm=address:port\n", text.c_str());
         std::exit(EXIT_FAILURE);
     }
     Greengage::EndpointSettings settings;
@@ -24,10 +24,10 @@
 
 } // namespace
 
-/// Takes the place of endpoint VMs.
+/// Stand-in for endpoint VMs.
 int main(int argumentCount, char** arguments)
 {
-    CLI::App app("Endpoints, for tests");
+    CLI::App app("Endpoints that run work and simulate failures, for tests");
     std::vector<std::string> endpointTexts;
     std::string controlAddress = "127.3.0.1";
     std::uint16_t controlPort = 0;
@@ -35,9 +35,9 @@
     int runMilliseconds = 20;
     app.add_option("--endpoint", endpointTexts, "vm=address:port of an endpoint; may be repeated")->required();
     app.add_option("--control-address", controlAddress, "Address of POST /control and GET /control/state");
-    app.add_option("--control-port", controlPort, "Its port")->required();
+    app.add_option("--control-port", controlPort, "Port of the control address")->required();
     app.add_option("--history", history, "File that starts and ends of work are appended to");
-    app.add_option("--run-ms", runMilliseconds, "Run time of work that names none");
+    app.add_option("--run-ms", runMilliseconds, "Run time of work whose request gives none, in milliseconds");
     CLI11_PARSE(app, argumentCount, arguments);
 
     std::vector<Greengage::EndpointSettings> endpoints;
@@ -49,7 +49,7 @@
     loop.stopOnSignals();
     Greengage::MinionProcess process(loop, controlAddress, controlPort, history, endpoints);
     if (!process.start()) {
-        std::fputs("cannot listen on an address\n", stderr);
+        std::fputs("cannot listen on the control address or on the address of an endpoint\n", stderr);
         return 1;
     }
     loop.run();
--- a/tests/standins/relay/RelayAction.h
+++ b/tests/standins/relay/RelayAction.h
@@ -4,10 +4,10 @@
 
 namespace Greengage {
 
-/// What the relay does with the connections that a rule matches.
+/// What the relay does with the connections that match a rule.
 enum class RelayAction {
     Pass,
-    /// Connections stay open and nothing gets through; what was sent meanwhile passes when the rule is gone.
+    /// Connections stay open but no bytes are passed on; what was sent meanwhile is passed on once the rule is removed.
     Freeze,
     /// Connections are reset.
     Reset,
--- a/tests/standins/relay/RelayLink.cpp
+++ b/tests/standins/relay/RelayLink.cpp
@@ -14,11 +14,11 @@
 
 sockaddr_in toSocketAddress(const std::string& address, std::uint16_t port)
 {
-    sockaddr_in made {};
-    made.sin_family = AF_INET;
-    made.sin_port = htons(port);
-    inet_pton(AF_INET, address.c_str(), &made.sin_addr);
-    return made;
+    sockaddr_in socketAddress {};
+    socketAddress.sin_family = AF_INET;
+    socketAddress.sin_port = htons(port);
+    inet_pton(AF_INET, address.c_str(), &socketAddress.sin_addr);
+    return socketAddress;
 }
 
 void resetOnClose(bufferevent* side)
@@ -32,14 +32,14 @@
 } // namespace
 
 RelayLink::RelayLink(event_base& base, int acceptedSocket, std::string source, const RelayRoute& route,
-    std::function<void(RelayLink&)> closed)
+    std::function<void(RelayLink&)> onClosed)
     : base(base)
     , sourceAddress(std::move(source))
     , route(route)
-    , closed(std::move(closed))
+    , onClosed(std::move(onClosed))
     , accepted(bufferevent_socket_new(&base, acceptedSocket, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS))
 {
-    bufferevent_setcb(this->accepted, readable, written, changed, this);
+    bufferevent_setcb(this->accepted, handleReadable, handleWritten, handleEvent, this);
     bufferevent_enable(this->accepted, EV_WRITE);
 }
 
@@ -52,21 +52,21 @@
 
 void RelayLink::apply(RelayAction action)
 {
-    this->frozen = this->silent || action == RelayAction::Freeze;
+    this->frozen = this->permanentlyFrozen || action == RelayAction::Freeze;
     if (!this->frozen && !this->target && !this->connect()) {
-        changed(this->accepted, BEV_EVENT_ERROR, this);
+        handleEvent(this->accepted, BEV_EVENT_ERROR, this);
         return;
     }
     this->setReading(!this->frozen);
     for (auto* side : { this->accepted, this->target }) {
         if (side)
-            readable(side, this);
+            handleReadable(side, this);
     }
 }
 
-void RelayLink::silence()
+void RelayLink::freezePermanently()
 {
-    this->silent = true;
+    this->permanentlyFrozen = true;
     this->apply(RelayAction::Freeze);
 }
 
@@ -86,7 +86,7 @@
         return false;
     }
     this->target = bufferevent_socket_new(&this->base, descriptor, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS);
-    bufferevent_setcb(this->target, readable, written, changed, this);
+    bufferevent_setcb(this->target, handleReadable, handleWritten, handleEvent, this);
     bufferevent_enable(this->target, EV_WRITE);
     return bufferevent_socket_connect(this->target, reinterpret_cast<sockaddr*>(&remote), sizeof remote) == 0;
 }
@@ -108,7 +108,7 @@
     return side == this->accepted ? this->target : this->accepted;
 }
 
-void RelayLink::readable(bufferevent* side, void* context)
+void RelayLink::handleReadable(bufferevent* side, void* context)
 {
     auto& link = *static_cast<RelayLink*>(context);
     if (link.frozen)
@@ -117,14 +117,14 @@
         evbuffer_add_buffer(bufferevent_get_output(other), bufferevent_get_input(side));
 }
 
-void RelayLink::written(bufferevent*, void* context)
+void RelayLink::handleWritten(bufferevent*, void* context)
 {
     auto& link = *static_cast<RelayLink*>(context);
-    if (link.closing)
-        link.closed(link);
+    if (link.closesAfterFlush)
+        link.onClosed(link);
 }
 
-void RelayLink::changed(bufferevent* side, short events, void* context)
+void RelayLink::handleEvent(bufferevent* side, short events, void* context)
 {
     auto& link = *static_cast<RelayLink*>(context);
     if (events & BEV_EVENT_CONNECTED)
@@ -134,9 +134,9 @@
     if (!(events & BEV_EVENT_EOF))
         link.resetBoth();
     if (flushes)
-        link.closing = true;
+        link.closesAfterFlush = true;
     else
-        link.closed(link);
+        link.onClosed(link);
 }
 
 } // namespace Greengage
--- a/tests/standins/relay/RelayLink.h
+++ b/tests/standins/relay/RelayLink.h
@@ -11,13 +11,13 @@
 
 namespace Greengage {
 
-/// One relayed connection: the accepted side and the side that leads to the target, which is bound to the address that
-/// the accepted side came from.
+/// One relayed connection: the accepted socket and the socket to the target. The latter is bound to the source address
+/// of the accepted one, so that the target sees the original source.
 class RelayLink {
 public:
-    /// `closed` is called from the loop when an end has closed or failed; it destroys the link.
-    RelayLink(
-        event_base&, int acceptedSocket, std::string source, const RelayRoute&, std::function<void(RelayLink&)> closed);
+    /// `onClosed` is called from the loop once either side has closed or failed; it must destroy the link.
+    RelayLink(event_base&, int acceptedSocket, std::string source, const RelayRoute&,
+        std::function<void(RelayLink&)> onClosed);
     ~RelayLink();
 
     RelayLink(const RelayLink&) = delete;
@@ -26,19 +26,19 @@
     const std::string& source() const { return this->sourceAddress; }
     const std::string& destination() const { return this->route.targetAddress; }
 
-    /// Passes or freezes. Resetting is done by `resetBoth` and destruction.
+    /// Passes bytes on, or stops doing so. To reset the connection, call `resetBoth` and destroy the link.
     void apply(RelayAction);
 
-    /// Freezes for good, whatever the rules say later.
-    void silence();
+    /// Freezes the connection permanently, whatever the rules say later.
+    void freezePermanently();
 
-    /// Makes the closing of both sides a reset.
+    /// Makes both sides send a TCP reset when they are closed.
     void resetBoth();
 
 private:
-    static void readable(bufferevent*, void*);
-    static void written(bufferevent*, void*);
-    static void changed(bufferevent*, short, void*);
+    static void handleReadable(bufferevent*, void*);
+    static void handleWritten(bufferevent*, void*);
+    static void handleEvent(bufferevent*, short, void*);
 
     bool connect();
     bufferevent* otherSide(bufferevent*) const;
@@ -47,12 +47,12 @@
     event_base& base;
     std::string sourceAddress;
     RelayRoute route;
-    std::function<void(RelayLink&)> closed;
+    std::function<void(RelayLink&)> onClosed;
     bufferevent* accepted;
     bufferevent* target = nullptr;
     bool frozen = false;
-    bool silent = false;
-    bool closing = false;
+    bool permanentlyFrozen = false;
+    bool closesAfterFlush = false;
 };
 
 } // namespace Greengage
--- a/tests/standins/relay/RelayProcess.cpp
+++ b/tests/standins/relay/RelayProcess.cpp
@@ -30,7 +30,7 @@
 {
     auto action = enumFromName<RelayAction>(json["action"].asString());
     if (!action)
-        throw Json::RuntimeError("action is pass, freeze or reset");
+        throw Json::RuntimeError("action must be pass, freeze or reset");
     return { json["source"].asString(), json["destination"].asString(), *action };
 }
 
@@ -65,22 +65,22 @@
     address.sin_family = AF_INET;
     address.sin_port = htons(listener.route.listenPort);
     inet_pton(AF_INET, listener.route.listenAddress.c_str(), &address.sin_addr);
-    listener.handle
-        = evconnlistener_new_bind(&this->loop.base(), accepted, &listener, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE,
-            listenBacklog, reinterpret_cast<sockaddr*>(&address), sizeof address);
+    listener.handle = evconnlistener_new_bind(&this->loop.base(), handleAccepted, &listener,
+        LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE, listenBacklog, reinterpret_cast<sockaddr*>(&address),
+        sizeof address);
     return listener.handle;
 }
 
-void RelayProcess::accepted(evconnlistener*, int descriptor, sockaddr* address, int, void* context)
+void RelayProcess::handleAccepted(evconnlistener*, int descriptor, sockaddr* address, int, void* context)
 {
     auto& listener = *static_cast<Listener*>(context);
-    listener.process->add(descriptor, toText(address), listener.route);
+    listener.process->addLink(descriptor, toText(address), listener.route);
 }
 
-void RelayProcess::add(int descriptor, const std::string& source, const RelayRoute& route)
+void RelayProcess::addLink(int descriptor, const std::string& source, const RelayRoute& route)
 {
-    auto closed = [this](RelayLink& link) { this->links.erase(&link); };
-    auto link = std::make_unique<RelayLink>(this->loop.base(), descriptor, source, route, closed);
+    auto onClosed = [this](RelayLink& link) { this->links.erase(&link); };
+    auto link = std::make_unique<RelayLink>(this->loop.base(), descriptor, source, route, onClosed);
     auto action = this->actionFor(source, route.targetAddress);
     if (action == RelayAction::Reset) {
         link->resetBoth();
@@ -140,7 +140,7 @@
     RelayRule rule { settings["silence"]["source"].asString(), settings["silence"]["destination"].asString() };
     for (const auto& [link, owner] : this->links) {
         if (rule.matches(link->source(), link->destination()))
-            link->silence();
+            link->freezePermanently();
     }
 }
 
--- a/tests/standins/relay/RelayProcess.h
+++ b/tests/standins/relay/RelayProcess.h
@@ -16,13 +16,13 @@
 
 class Loop;
 
-/// Relays TCP connections under rules that can be changed while it runs.
+/// Relays TCP connections according to rules that can be changed while it runs.
 class RelayProcess {
 public:
     RelayProcess(Loop&, const std::string& controlAddress, std::uint16_t controlPort, std::vector<RelayRoute>);
     ~RelayProcess();
 
-    /// Tells whether all addresses could be bound.
+    /// Returns whether all addresses could be bound.
     bool start();
 
 private:
@@ -32,15 +32,16 @@
         evconnlistener* handle;
     };
 
-    static void accepted(evconnlistener*, int descriptor, sockaddr*, int, void* listener);
+    static void handleAccepted(evconnlistener*, int descriptor, sockaddr*, int, void* listener);
 
     bool listen(Listener&);
-    void add(int descriptor, const std::string& source, const RelayRoute&);
+    void addLink(int descriptor, const std::string& source, const RelayRoute&);
     RelayAction actionFor(const std::string& source, const std::string& destination) const;
     void applyRules();
 
-    /// POST /control {"rules":[{"source","destination","action"}]} replaces the rules, the first that matches counts;
-    /// {"silence":{"source","destination"}} silences the open connections for good. GET /control/state counts links.
+    /// Handles POST /control {"rules":[{"source","destination","action"}]}, which replaces the rules (the first
+    /// matching rule applies); POST /control {"silence":{"source","destination"}}, which permanently freezes the
+    /// connections that are open now; and GET /control/state, which returns the number of open connections.
     void handleControl(evhttp_request*);
     void applyControl(const Json::Value&);
 
--- a/tests/standins/relay/RelayRoute.h
+++ b/tests/standins/relay/RelayRoute.h
@@ -5,7 +5,7 @@
 
 namespace Greengage {
 
-/// A listening address and where its connections lead.
+/// A listening address and the target that its connections are relayed to.
 struct RelayRoute {
     std::string listenAddress;
     std::uint16_t listenPort = 0;
--- a/tests/standins/relay/RelayRule.h
+++ b/tests/standins/relay/RelayRule.h
@@ -6,7 +6,7 @@
 
 namespace Greengage {
 
-/// Decides over connections by the beginnings of the addresses that they lead from and to.
+/// Selects connections by prefixes of their source and destination addresses, and says what the relay does with them.
 struct RelayRule {
     std::string source;
     std::string destination;
--- a/tests/standins/store/PendingWatch.h
+++ b/tests/standins/store/PendingWatch.h
@@ -10,7 +10,7 @@
 
 namespace Greengage {
 
-/// A watch that waits for a change.
+/// A watch request that has not been answered yet.
 struct PendingWatch {
     evhttp_request* request = nullptr;
     std::vector<std::string> prefixes;
--- a/tests/standins/store/RebootTable.h
+++ b/tests/standins/store/RebootTable.h
@@ -9,7 +9,7 @@
 
 namespace Greengage {
 
-/// The reboots that the platform has taken. Each operation number of a VM is run once.
+/// The reboots that the platform has accepted. Each operation number of a VM is carried out at most once.
 class RebootTable {
 public:
     struct Reboot {
@@ -18,8 +18,9 @@
         bool reported = false;
     };
 
-    /// Takes a reboot unless its number is not above the newest one's; returns whether it was taken.
-    bool request(const std::string& vm, std::uint64_t operation, Deadline doneAt)
+    /// Accepts a reboot if its operation number is above that of the VM's newest reboot; returns whether it was
+    /// accepted.
+    bool accept(const std::string& vm, std::uint64_t operation, Deadline doneAt)
     {
         Reboot& newest = this->reboots[vm];
         if (operation <= newest.operation)
@@ -30,8 +31,8 @@
 
     const Reboot& newest(const std::string& vm) { return this->reboots[vm]; }
 
-    /// The VMs whose reboot has ended since this was last asked.
-    std::vector<std::string> takeEnded(Instant now)
+    /// The VMs whose reboot has ended since the previous call.
+    std::vector<std::string> takeCompleted(Instant now)
     {
         std::vector<std::string> ended;
         for (auto& [vm, reboot] : this->reboots) {
--- a/tests/standins/store/StoreFaults.h
+++ b/tests/standins/store/StoreFaults.h
@@ -8,11 +8,11 @@
 
 namespace Greengage {
 
-/// How the whole store is out.
+/// How the whole store is unavailable.
 enum class StoreOutage {
     None,
-    /// Calls are accepted, have no effect and are never answered.
-    Silent,
+    /// Calls are accepted but have no effect and are never answered.
+    Unresponsive,
     /// Connections are refused.
     Refuse,
 };
@@ -20,24 +20,24 @@
 template <> struct EnumNames<StoreOutage> {
     static constexpr std::array<std::pair<StoreOutage, std::string_view>, 3> table { {
         { StoreOutage::None, "none" },
-        { StoreOutage::Silent, "silent" },
+        { StoreOutage::Unresponsive, "silent" },
         { StoreOutage::Refuse, "refuse" },
     } };
 };
 
-/// The failures that the store stand-in shows at present.
+/// The failures that the store stand-in simulates at present.
 struct StoreFaults {
     StoreOutage outage = StoreOutage::None;
-    /// Time between a call's effect and its answer.
+    /// Delay between a call's effect and its answer.
     Milliseconds delay {};
-    /// How many of the next writes and erasures take effect and lose their answers.
+    /// How many of the next writes and erasures take effect but get no answer.
     int writeAnswersToLose = 0;
-    /// Callers whose address starts with one of these get no effect and no answer.
-    std::vector<std::string> cutPrefixes;
+    /// Calls from addresses with one of these prefixes have no effect and get no answer.
+    std::vector<std::string> blockedPrefixes;
 
-    bool cuts(const std::string& address) const
+    bool blocks(const std::string& address) const
     {
-        for (const auto& prefix : this->cutPrefixes) {
+        for (const auto& prefix : this->blockedPrefixes) {
             if (address.starts_with(prefix))
                 return true;
         }
--- a/tests/standins/store/StoreService.cpp
+++ b/tests/standins/store/StoreService.cpp
@@ -69,7 +69,7 @@
 void StoreService::runTimers()
 {
     this->state.expire(BootClock::now());
-    for (const auto& vm : this->reboots.takeEnded(BootClock::now()))
+    for (const auto& vm : this->reboots.takeCompleted(BootClock::now()))
         this->history.append(LogLine("vm_live").add("vm", vm).add("at", HistoryFile::now()));
     this->answerWatches();
     this->loop.callLater(timerInterval, [this] { this->runTimers(); });
@@ -84,14 +84,14 @@
         HttpReplies::closeSilently(this->loop, request);
         return;
     }
-    if (this->faults.outage == StoreOutage::Silent || this->faults.cuts(HttpReplies::peerAddress(request))) {
-        this->held.insert(request);
+    if (this->faults.outage == StoreOutage::Unresponsive || this->faults.blocks(HttpReplies::peerAddress(request))) {
+        this->unansweredRequests.insert(request);
         return;
     }
     auto body = HttpReplies::body(request);
     auto arguments = parseJsonObject(body.empty() ? "{}" : body);
     if (!arguments) {
-        HttpReplies::text(request, HTTP_BADREQUEST, "body is no JSON object");
+        HttpReplies::text(request, HTTP_BADREQUEST, "body is not a JSON object");
         return;
     }
     try {
@@ -129,14 +129,14 @@
     else if (kind == "lease/revoke")
         answer["revoked"] = this->state.revokeLease(arguments["leaseId"].asString(), now);
     else if (kind == "vms") {
-        answer["vms"] = this->vms.shown(now);
+        answer["vms"] = this->vms.visible(now);
         this->answerVms(request, answer);
         return;
     } else if (kind.starts_with(vmsPrefix) && kind.ends_with(rebootSuffix)) {
         auto vm = kind.substr(vmsPrefix.size(), kind.size() - vmsPrefix.size() - rebootSuffix.size());
         answer = this->reboot(vm, arguments["operation"].asUInt64());
     } else {
-        HttpReplies::text(request, HTTP_NOTFOUND, "no such call");
+        HttpReplies::text(request, HTTP_NOTFOUND, "unknown call " + kind);
         return;
     }
     this->reply(request, answer);
@@ -158,7 +158,7 @@
 void StoreService::answerWrite(evhttp_request* request, StoreState::WriteResult result, const std::string& key)
 {
     Json::Value answer;
-    if (result == StoreState::WriteResult::LeaseLapsed)
+    if (result == StoreState::WriteResult::LeaseExpired)
         answer["error"] = "lease_lapsed";
     else {
         answer["written"] = result == StoreState::WriteResult::Written;
@@ -209,9 +209,9 @@
 
 void StoreService::deliver(evhttp_request* request, const Json::Value& answer)
 {
-    bool cut = this->faults.outage != StoreOutage::None || this->faults.cuts(HttpReplies::peerAddress(request));
-    if (cut)
-        this->held.insert(request);
+    bool blocked = this->faults.outage != StoreOutage::None || this->faults.blocks(HttpReplies::peerAddress(request));
+    if (blocked)
+        this->unansweredRequests.insert(request);
     else
         HttpReplies::json(request, answer);
 }
@@ -230,7 +230,7 @@
     if (settings.isMember("outage")) {
         auto outage = enumFromName<StoreOutage>(settings["outage"].asString());
         if (!outage)
-            throw Json::RuntimeError("outage is none, silent or refuse");
+            throw Json::RuntimeError("outage must be none, silent or refuse");
         this->faults.outage = *outage;
         if (*outage == StoreOutage::Refuse)
             this->calls.stopListening();
@@ -242,20 +242,20 @@
     if (settings.isMember("loseWriteAnswers"))
         this->faults.writeAnswersToLose = settings["loseWriteAnswers"].asInt();
     if (settings.isMember("cut"))
-        this->faults.cutPrefixes = toStrings(settings["cut"]);
+        this->faults.blockedPrefixes = toStrings(settings["cut"]);
     if (settings.isMember("rebootMs"))
         this->rebootTime = Milliseconds(settings["rebootMs"].asInt64());
     if (settings.isMember("vmsLagMs"))
         this->vmsLag = Milliseconds(settings["vmsLagMs"].asInt64());
     if (settings.isMember("vms"))
         this->setVms(settings["vms"]);
-    this->releaseHeld();
+    this->closeUnanswered();
 }
 
 Json::Value StoreService::reboot(const std::string& vm, std::uint64_t operation)
 {
     auto now = BootClock::now();
-    if (this->reboots.request(vm, operation, Deadline::after(now, this->rebootTime)))
+    if (this->reboots.accept(vm, operation, Deadline::after(now, this->rebootTime)))
         this->history.append(LogLine("vm_leaving").add("vm", vm).add("at", HistoryFile::now()));
     const auto& newest = this->reboots.newest(vm);
     Json::Value answer;
@@ -276,18 +276,18 @@
     this->vms.set(list, this->vmsLag, BootClock::now());
 }
 
-void StoreService::releaseHeld()
+void StoreService::closeUnanswered()
 {
-    if (this->faults.outage == StoreOutage::Silent)
+    if (this->faults.outage == StoreOutage::Unresponsive)
         return;
-    std::set<evhttp_request*> stillHeld;
-    for (auto* request : this->held) {
-        if (this->faults.cuts(HttpReplies::peerAddress(request)))
-            stillHeld.insert(request);
+    std::set<evhttp_request*> stillUnanswered;
+    for (auto* request : this->unansweredRequests) {
+        if (this->faults.blocks(HttpReplies::peerAddress(request)))
+            stillUnanswered.insert(request);
         else
             HttpReplies::closeSilently(this->loop, request);
     }
-    this->held = std::move(stillHeld);
+    this->unansweredRequests = std::move(stillUnanswered);
 }
 
 Json::Value StoreService::describeCalls() const
--- a/tests/standins/store/StoreService.h
+++ b/tests/standins/store/StoreService.h
@@ -16,14 +16,15 @@
 
 class Loop;
 
-/// The platform's key-value service and VM list over HTTP, with failures switched by a control address.
+/// The platform's key-value service and VM list over HTTP, with simulated failures that a control port switches on and
+/// off.
 class StoreService {
 public:
-    /// `historyPath` gets a line when a VM of the list becomes leaving or live.
+    /// A line is appended to `historyPath` whenever a VM of the list becomes leaving or live.
     StoreService(Loop&, const std::string& address, std::uint16_t port, std::uint16_t controlPort,
         const std::string& historyPath);
 
-    /// Tells whether both addresses could be bound.
+    /// Returns whether both ports could be bound.
     bool start();
 
 private:
@@ -40,7 +41,7 @@
     void handleControl(evhttp_request*);
     void applyControl(const Json::Value&);
     void setVms(const Json::Value& vms);
-    void releaseHeld();
+    void closeUnanswered();
     Json::Value describeCalls() const;
     Json::Value reboot(const std::string& vm, std::uint64_t operation);
 
@@ -53,11 +54,11 @@
     Milliseconds vmsLag {};
     std::map<std::string, std::string> vmStates;
     std::map<std::string, std::uint64_t> callCounts;
-    /// Questions for the VM list that were answered with "not modified".
+    /// Requests for the VM list that were answered with status 304, not modified.
     std::uint64_t unchangedVmLists = 0;
     std::vector<PendingWatch> watches;
-    /// Requests that are never answered; their connections are closed when the failure ends.
-    std::set<evhttp_request*> held;
+    /// Requests that are never answered; their connections are closed when the simulated failure ends.
+    std::set<evhttp_request*> unansweredRequests;
     HistoryFile history;
     HttpService calls;
     HttpService control;
--- a/tests/standins/store/StoreState.cpp
+++ b/tests/standins/store/StoreState.cpp
@@ -17,9 +17,9 @@
 {
     this->expire(now);
     if (!write.leaseId.empty() && !this->leases.contains(write.leaseId))
-        return WriteResult::LeaseLapsed;
+        return WriteResult::LeaseExpired;
     if (this->currentVersion(write.key) != write.expectedVersion)
-        return WriteResult::VersionDiffers;
+        return WriteResult::VersionMismatch;
     auto& record = this->records[write.key];
     record.value = write.value;
     record.leaseId = write.leaseId;
@@ -34,7 +34,7 @@
     this->expire(now);
     auto current = this->currentVersion(key);
     if (current == 0 || current != expectedVersion)
-        return WriteResult::VersionDiffers;
+        return WriteResult::VersionMismatch;
     this->remove(this->records[key]);
     return WriteResult::Written;
 }
--- a/tests/standins/store/StoreState.h
+++ b/tests/standins/store/StoreState.h
@@ -13,14 +13,14 @@
 
 namespace Greengage {
 
-/// The tables of a key-value store with compare-and-swap and leases, held in memory. Every method first removes what
-/// lapsed before `now`.
+/// The state of an in-memory key-value store with compare-and-swap and leases. Every method that takes `now` first
+/// removes the leases that have expired by then, and their keys.
 class StoreState {
 public:
     enum class WriteResult {
         Written,
-        VersionDiffers,
-        LeaseLapsed,
+        VersionMismatch,
+        LeaseExpired,
     };
 
     std::optional<StoreEntry> read(const std::string& key, Instant now);
@@ -28,18 +28,18 @@
     WriteResult erase(const std::string& key, std::uint64_t expectedVersion, Instant now);
     std::vector<StoreEntry> list(const std::string& prefix, Instant now);
 
-    /// What changed after the revision among the keys that start with one of the prefixes.
+    /// The keys with one of the prefixes that changed after the revision. A deleted key has version 0.
     WatchResult changes(const std::vector<std::string>& prefixes, std::uint64_t afterRevision, Instant now);
 
     std::string grantLease(Milliseconds timeToLive, Instant now);
     bool renewLease(const std::string& leaseId, Instant now);
     bool revokeLease(const std::string& leaseId, Instant now);
 
-    /// The version that the key has, 0 if it does not exist.
+    /// The version of the key; 0 if it does not exist.
     std::uint64_t currentVersion(const std::string& key) const;
     std::uint64_t revision() const { return this->storeRevision; }
 
-    /// Removes the leases that have lapsed, and their keys.
+    /// Removes the leases that have expired by `now`, and their keys.
     void expire(Instant now);
 
 private:
--- a/tests/standins/store/VmList.h
+++ b/tests/standins/store/VmList.h
@@ -7,19 +7,19 @@
 
 namespace Greengage {
 
-/// The platform's list of VMs, shown with a lag.
+/// The platform's list of VMs. Changes become visible after a delay.
 class VmList {
 public:
-    /// The array shown from `lag` after `now` on.
+    /// Sets the array that becomes visible `lag` after `now`.
     void set(const Json::Value& vms, Milliseconds lag, Instant now)
     {
         this->upcoming.push_back({ Deadline::after(now, lag), vms });
     }
 
-    /// The array that is shown at `now`.
-    const Json::Value& shown(Instant now)
+    /// The array that is visible at `now`.
+    const Json::Value& visible(Instant now)
     {
-        while (!this->upcoming.empty() && this->upcoming.front().shownFrom.hasPassed(now)) {
+        while (!this->upcoming.empty() && this->upcoming.front().visibleFrom.hasPassed(now)) {
             this->current = this->upcoming.front().vms;
             this->upcoming.pop_front();
         }
@@ -28,7 +28,7 @@
 
 private:
     struct Update {
-        Deadline shownFrom;
+        Deadline visibleFrom;
         Json::Value vms;
     };
 
--- a/tests/standins/tests/MinionFixture.h
+++ b/tests/standins/tests/MinionFixture.h
@@ -15,7 +15,7 @@
 
 namespace Greengage {
 
-/// Two endpoints and a client of them on one loop.
+/// Two endpoints and an HTTP client on one event loop.
 class MinionFixture {
 public:
     static constexpr Milliseconds waitLimit { 10000 };
@@ -45,20 +45,20 @@
         return call;
     }
 
-    /// Sends without waiting; the outcome appears in the returned place.
+    /// Sends without waiting; the outcome is stored in the returned object when it arrives.
     std::shared_ptr<std::optional<Outcome>> begin(const HttpCall& call)
     {
-        auto place = std::make_shared<std::optional<Outcome>>();
-        this->client.send(call, [place](Outcome outcome) { *place = std::move(outcome); });
-        return place;
+        auto pending = std::make_shared<std::optional<Outcome>>();
+        this->client.send(call, [pending](Outcome outcome) { *pending = std::move(outcome); });
+        return pending;
     }
 
     Outcome await(const HttpCall& call)
     {
-        auto place = this->begin(call);
-        if (!this->loop.runUntil([&] { return place->has_value(); }, waitLimit))
-            throw std::runtime_error("call has not ended");
-        return **place;
+        auto pending = this->begin(call);
+        if (!this->loop.runUntil([&] { return pending->has_value(); }, waitLimit))
+            throw std::runtime_error("call " + call.path + " has not ended in time");
+        return **pending;
     }
 
     Outcome work(const std::string& body) { return this->await(this->makeCall("/run", body)); }
@@ -69,7 +69,7 @@
         call.address = "127.3.0.1";
         call.port = this->port + 1;
         if (!this->await(call))
-            throw std::runtime_error("control failed");
+            throw std::runtime_error("control call failed: " + body);
     }
 
     Json::Value state(int endpoint)
@@ -85,7 +85,7 @@
         return this->loop.runUntil([&] { return this->state(0)["running"].asInt() == count; }, waitLimit);
     }
 
-    /// How many lines of the history begin with the event.
+    /// The number of lines in the history that record the event.
     int countEvents(const std::string& event) const
     {
         std::ifstream file(this->historyPath);
--- a/tests/standins/tests/MinionTests.cpp
+++ b/tests/standins/tests/MinionTests.cpp
@@ -43,7 +43,7 @@
     BOOST_TEST(this->countEvents("start") == 8);
 }
 
-BOOST_AUTO_TEST_CASE(refusesWhenLeavingAndWhenAnotherVmIsMeant)
+BOOST_AUTO_TEST_CASE(refusesWhenLeavingAndRefusesRequestsForAnotherVm)
 {
     auto call = this->makeCall("/run", makeBody("c1", 5));
     call.headers.push_back({ "Greengage-Endpoint", "vm-2" });
@@ -53,11 +53,11 @@
     BOOST_TEST(this->countEvents("start") == 0);
 }
 
-BOOST_AUTO_TEST_CASE(reportsWhatIsRunningAndRunsOnWithoutItsConnection)
+BOOST_AUTO_TEST_CASE(reportsRunningWorkAndFinishesItWithoutItsConnection)
 {
     {
-        HttpClient brief(this->loop.base(), "127.1.1.2");
-        brief.send(this->makeCall("/run", makeBody("c1", 400)), [](auto) {});
+        HttpClient shortLivedClient(this->loop.base(), "127.1.1.2");
+        shortLivedClient.send(this->makeCall("/run", makeBody("c1", 400)), [](auto) {});
         BOOST_TEST(this->waitForRunning(1));
     }
     auto json = parseJsonObject(this->await(this->makeCall("/running")).value().body).value();
@@ -68,7 +68,7 @@
     BOOST_TEST(this->work(makeBody("c2", 5)).value().status == 200);
 }
 
-BOOST_AUTO_TEST_CASE(takesNoMoreThanItsConnections)
+BOOST_AUTO_TEST_CASE(acceptsNoMoreThanItsConnectionLimit)
 {
     std::vector<std::shared_ptr<std::optional<Outcome>>> running;
     for (int job = 0; job < 64; ++job)
@@ -80,28 +80,28 @@
     BOOST_TEST(!this->await(call).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(frozenEndpointRunsWhatItTookWhenItWakes)
+BOOST_AUTO_TEST_CASE(unfrozenEndpointRunsTheRequestsThatItAccepted)
 {
     this->control(R"({"vm":"vm-1","frozen":true})");
-    auto place = this->begin(this->makeCall("/run", makeBody("c1", 5)));
+    auto pending = this->begin(this->makeCall("/run", makeBody("c1", 5)));
     auto other = this->makeCall("/run", makeBody("c2", 5));
     other.address = "127.2.1.2";
     BOOST_TEST(this->await(other).value().status == 200);
-    BOOST_TEST(!place->has_value());
+    BOOST_TEST(!pending->has_value());
     this->control(R"({"vm":"vm-1","frozen":false})");
-    this->loop.runUntil([&] { return place->has_value(); }, waitLimit);
-    BOOST_TEST((*place)->value().status == 200);
+    this->loop.runUntil([&] { return pending->has_value(); }, waitLimit);
+    BOOST_TEST((*pending)->value().status == 200);
 }
 
-BOOST_AUTO_TEST_CASE(silentConnectionStaysSilentWhileNewOnesWork)
+BOOST_AUTO_TEST_CASE(unresponsiveConnectionStaysSoWhileNewOnesWork)
 {
     BOOST_TEST(this->work(makeBody("c1", 5)).has_value());
     this->control(R"({"vm":"vm-1","silenceConnections":true})");
     auto call = this->makeCall("/run", makeBody("c2", 5));
     call.timeout = Milliseconds(300);
-    auto silent = this->await(call);
-    BOOST_REQUIRE(!silent.has_value());
-    BOOST_TEST(silent.error().mayHaveBeenSent);
+    auto unanswered = this->await(call);
+    BOOST_REQUIRE(!unanswered.has_value());
+    BOOST_TEST(unanswered.error().mayHaveBeenSent);
     BOOST_TEST(this->work(makeBody("c3", 5)).value().status == 200);
     BOOST_TEST(this->countEvents("start") == 2);
 }
@@ -115,16 +115,16 @@
     BOOST_TEST(this->work(makeBody("c2", 5)).value().status == 200);
 }
 
-BOOST_AUTO_TEST_CASE(lateAnswerComesAfterTheEndOfWork)
+BOOST_AUTO_TEST_CASE(delayedAnswerArrivesAfterTheEndOfWork)
 {
     this->control(R"({"vm":"vm-1","answerDelayMs":300})");
-    auto place = this->begin(this->makeCall("/run", makeBody("c1", 5)));
+    auto pending = this->begin(this->makeCall("/run", makeBody("c1", 5)));
     BOOST_TEST(this->loop.runUntil([&] { return this->countEvents("end") == 1; }, waitLimit));
-    BOOST_TEST(!place->has_value());
-    BOOST_TEST(this->loop.runUntil([&] { return place->has_value(); }, waitLimit));
+    BOOST_TEST(!pending->has_value());
+    BOOST_TEST(this->loop.runUntil([&] { return pending->has_value(); }, waitLimit));
 }
 
-BOOST_AUTO_TEST_CASE(endpointThatDiesMidAnswerRefusesUntilRevived)
+BOOST_AUTO_TEST_CASE(endpointThatCrashesMidAnswerRefusesUntilRevived)
 {
     this->control(R"({"vm":"vm-1","dieInNextAnswer":true})");
     BOOST_TEST(!this->work(makeBody("c1", 5)).has_value());
--- a/tests/standins/tests/RelayTests.cpp
+++ b/tests/standins/tests/RelayTests.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// A client in one zone, a server in another and a relay between them.
+/// A client in one zone, a server in another, and a relay between them.
 class RelayFixture {
 public:
     static constexpr Milliseconds waitLimit { 10000 };
@@ -25,7 +25,7 @@
         , client(this->loop.base(), "127.1.1.7")
     {
         if (!this->server.listen() || !this->relay.start())
-            throw std::runtime_error("cannot listen");
+            throw std::runtime_error("server or relay cannot listen");
     }
 
     void serve(evhttp_request* request)
@@ -42,16 +42,16 @@
         call.path = "/control";
         call.body = body;
         call.timeout = this->timeout;
-        auto place = std::make_shared<std::optional<Outcome>>();
-        this->client.send(call, [place](Outcome outcome) { *place = std::move(outcome); });
-        return place;
+        auto pending = std::make_shared<std::optional<Outcome>>();
+        this->client.send(call, [pending](Outcome outcome) { *pending = std::move(outcome); });
+        return pending;
     }
 
-    Outcome await(const std::shared_ptr<std::optional<Outcome>>& place)
+    Outcome await(const std::shared_ptr<std::optional<Outcome>>& pending)
     {
-        if (!this->loop.runUntil([&] { return place->has_value(); }, waitLimit))
-            throw std::runtime_error("call has not ended");
-        return **place;
+        if (!this->loop.runUntil([&] { return pending->has_value(); }, waitLimit))
+            throw std::runtime_error("call has not ended in time");
+        return **pending;
     }
 
     Outcome callThroughRelay() { return this->await(this->begin("127.2.2.1", 2, "")); }
@@ -84,17 +84,17 @@
 {
     BOOST_TEST(this->callThroughRelay().has_value());
     this->control(R"({"rules":[{"source":"127.1.1.","destination":"127.2.2.","action":"freeze"}]})");
-    auto place = this->begin("127.2.2.1", 2, "");
+    auto pending = this->begin("127.2.2.1", 2, "");
     this->timeout = Milliseconds(200);
     BOOST_TEST(!this->callThroughRelay().has_value());
-    BOOST_TEST(!place->has_value());
+    BOOST_TEST(!pending->has_value());
     BOOST_TEST(this->served == 1);
     this->timeout = Milliseconds(5000);
     this->control(R"({"rules":[]})");
-    BOOST_TEST(this->await(place).has_value());
+    BOOST_TEST(this->await(pending).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(ruleForOtherSourcesDoesNotBind)
+BOOST_AUTO_TEST_CASE(ruleForOtherSourcesDoesNotApply)
 {
     this->control(R"({"rules":[{"source":"127.1.2.","destination":"127.2.","action":"freeze"}]})");
     BOOST_TEST(this->callThroughRelay().has_value());
@@ -111,7 +111,7 @@
     BOOST_TEST(this->callThroughRelay().has_value());
 }
 
-BOOST_AUTO_TEST_CASE(silencedConnectionStaysSilentWhileNewOnesPass)
+BOOST_AUTO_TEST_CASE(permanentlyFrozenConnectionStaysSoWhileNewOnesPass)
 {
     BOOST_TEST(this->callThroughRelay().has_value());
     this->control(R"({"silence":{"source":"127.1.","destination":"127.2."}})");
@@ -122,7 +122,7 @@
     BOOST_TEST(this->served == 2);
 }
 
-BOOST_AUTO_TEST_CASE(deadTargetBreaksTheConnection)
+BOOST_AUTO_TEST_CASE(unreachableTargetBreaksTheConnection)
 {
     this->server.stopListening();
     BOOST_TEST(!this->callThroughRelay().has_value());
--- a/tests/standins/tests/StoreClientTests.cpp
+++ b/tests/standins/tests/StoreClientTests.cpp
@@ -22,7 +22,7 @@
     BOOST_TEST((this->read("b").error().code == StoreErrorCode::NotFound));
 }
 
-BOOST_AUTO_TEST_CASE(deletedKeyGoesOnWithALargerVersion)
+BOOST_AUTO_TEST_CASE(recreatedKeyContinuesWithALargerVersion)
 {
     BOOST_TEST(this->write({ "a", "one", 0, "" }).has_value());
     BOOST_TEST(this->await<bool>([&](auto callback) { this->client.erase("a", 1, callback); }).value());
@@ -62,7 +62,7 @@
     BOOST_TEST(result.value().entries.empty());
 }
 
-BOOST_AUTO_TEST_CASE(lapsedLeaseDeletesItsKeysAndRefusesWrites)
+BOOST_AUTO_TEST_CASE(expiredLeaseDeletesItsKeysAndRefusesWrites)
 {
     auto lease = this->await<std::string>([&](auto callback) { this->client.grantLease(Milliseconds(100), callback); })
                      .value();
@@ -77,7 +77,7 @@
     BOOST_TEST((renewed.error().code == StoreErrorCode::LeaseLapsed));
 }
 
-BOOST_AUTO_TEST_CASE(lostWriteAnswerHasTakenEffect)
+BOOST_AUTO_TEST_CASE(writeWithALostAnswerHasTakenEffect)
 {
     this->control(R"({"loseWriteAnswers":1})");
     BOOST_TEST((this->write({ "a", "one", 0, "" }).error().code == StoreErrorCode::AnswerLost));
@@ -94,7 +94,7 @@
     BOOST_TEST(this->write({ "a", "one", 0, "" }).value() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(silentStoreLosesTheAnswerAndRecovers)
+BOOST_AUTO_TEST_CASE(unresponsiveStoreLosesTheAnswerAndRecovers)
 {
     this->control(R"({"outage":"silent"})");
     BOOST_TEST((this->write({ "a", "one", 0, "" }).error().code == StoreErrorCode::AnswerLost));
@@ -102,7 +102,7 @@
     BOOST_TEST((this->read("a").error().code == StoreErrorCode::NotFound));
 }
 
-BOOST_AUTO_TEST_CASE(cutPrefixGetsNoAnswerAndOthersDo)
+BOOST_AUTO_TEST_CASE(blockedPrefixGetsNoAnswerAndOthersDo)
 {
     StoreClient other(this->loop.base(), "127.3.0.1", this->port, "127.1.2.1");
     this->control(R"({"cut":["127.1.2."]})");
@@ -151,8 +151,8 @@
 {
     bool calledBack = false;
     {
-        StoreClient brief(this->loop.base(), "127.3.0.1", this->port, "127.1.1.1");
-        brief.watch({ "x" }, 0, Milliseconds(5000), [&](auto) { calledBack = true; });
+        StoreClient shortLivedClient(this->loop.base(), "127.3.0.1", this->port, "127.1.1.1");
+        shortLivedClient.watch({ "x" }, 0, Milliseconds(5000), [&](auto) { calledBack = true; });
         this->loop.runUntil([&] { return this->control("")["openWatches"].asInt() == 1; }, waitLimit);
     }
     BOOST_TEST(this->write({ "x", "one", 0, "" }).has_value());
--- a/tests/standins/tests/StoreFixture.h
+++ b/tests/standins/tests/StoreFixture.h
@@ -11,7 +11,7 @@
 
 namespace Greengage {
 
-/// A store stand-in and a client of it on one loop.
+/// A store stand-in and its clients on one event loop.
 class StoreFixture {
 public:
     static constexpr Milliseconds waitLimit { 10000 };
@@ -26,13 +26,13 @@
             throw std::runtime_error("store stand-in cannot listen");
     }
 
-    /// Starts a call with `begin(callback)` and runs the loop until it has ended.
+    /// Starts a call with `begin(callback)` and runs the loop until the callback has been called.
     template <typename Value, typename Begin> Result<Value, StoreError> await(Begin begin)
     {
         std::optional<Result<Value, StoreError>> outcome;
         begin([&outcome](Result<Value, StoreError> result) { outcome = std::move(result); });
         if (!this->loop.runUntil([&outcome] { return outcome.has_value(); }, waitLimit))
-            throw std::runtime_error("call has not ended");
+            throw std::runtime_error("store call has not ended in time");
         return *outcome;
     }
 
@@ -46,7 +46,7 @@
         return this->await<StoreEntry>([&](auto callback) { this->client.read(key, callback); });
     }
 
-    /// Sends a control message, or with an empty one asks for the counts of calls.
+    /// Sends a control message and returns the answer; an empty message requests the counts of calls.
     Json::Value control(const std::string& body)
     {
         HttpCall call;
