--- a/tests/site/HttpTool.cpp
+++ b/tests/site/BlockingHttpClient.cpp
@@ -1,4 +1,4 @@
-#include <tests/site/HttpTool.h>
+#include <tests/site/BlockingHttpClient.h>
 
 #include <core/time/Deadline.h>
 #include <standins/common/JsonText.h>
@@ -16,23 +16,24 @@
 
 } // namespace
 
-HttpTool::HttpTool()
+BlockingHttpClient::BlockingHttpClient()
     : client(loop.base(), "127.0.0.1")
 {
 }
 
-HttpTool::Outcome HttpTool::send(HttpCall call)
+BlockingHttpClient::Outcome BlockingHttpClient::send(HttpCall call)
 {
     std::optional<Outcome> outcome;
     call.freshConnection = true;
     this->client.send(call, [&outcome](Outcome result) { outcome = std::move(result); });
     if (!this->loop.runUntil([&outcome] { return outcome.has_value(); }, call.timeout + callLimit))
-        throw std::runtime_error("call to " + call.address + " has not ended");
+        throw std::runtime_error(
+            "call to " + call.address + ":" + std::to_string(call.port) + call.path + " has not ended in time");
     this->client.closeIdleConnections();
     return *outcome;
 }
 
-Json::Value HttpTool::post(
+Json::Value BlockingHttpClient::post(
     const std::string& address, std::uint16_t port, const std::string& path, const Json::Value& body)
 {
     HttpCall call;
@@ -43,7 +44,7 @@
     return this->sendForJson(call);
 }
 
-Json::Value HttpTool::get(const std::string& address, std::uint16_t port, const std::string& path)
+Json::Value BlockingHttpClient::get(const std::string& address, std::uint16_t port, const std::string& path)
 {
     HttpCall call;
     call.address = address;
@@ -52,21 +53,22 @@
     return this->sendForJson(call);
 }
 
-Json::Value HttpTool::sendForJson(const HttpCall& call)
+Json::Value BlockingHttpClient::sendForJson(const HttpCall& call)
 {
     auto outcome = this->send(call);
     auto where = call.address + ":" + std::to_string(call.port) + call.path + ": ";
     if (!outcome)
         throw std::runtime_error(where + outcome.error().detail);
     if (outcome.value().status != 200)
-        throw std::runtime_error(where + std::to_string(outcome.value().status) + " " + outcome.value().body);
+        throw std::runtime_error(
+            where + "status " + std::to_string(outcome.value().status) + " " + outcome.value().body);
     auto json = parseJsonObject(outcome.value().body);
     if (!json)
-        throw std::runtime_error(where + "no JSON object");
+        throw std::runtime_error(where + "answer is not a JSON object");
     return *json;
 }
 
-bool HttpTool::waitUntil(const std::function<bool()>& condition, Milliseconds limit)
+bool BlockingHttpClient::waitUntil(const std::function<bool()>& condition, Milliseconds limit)
 {
     auto deadline = Deadline::after(BootClock::now(), limit);
     while (!condition()) {
--- a/tests/site/HttpTool.h
+++ b/tests/site/BlockingHttpClient.h
@@ -9,21 +9,22 @@
 
 namespace Greengage {
 
-/// Makes HTTP calls and waits for their answers, as a test does that drives other processes.
-class HttpTool {
+/// A blocking HTTP client for tests that control other processes.
+class BlockingHttpClient {
 public:
     using Outcome = Result<HttpAnswer, HttpFailure>;
 
-    HttpTool();
+    BlockingHttpClient();
 
-    /// Sends the call on a connection of its own.
+    /// Sends the call on a new connection and waits for the outcome.
     Outcome send(HttpCall);
 
-    /// POSTs a JSON object and returns the JSON answer. Throws if it does not come with status 200.
+    /// POSTs a JSON object and returns the JSON object in the answer. Throws if the call fails, its status is not 200
+    /// or the answer is not a JSON object. `get` does the same without a body.
     Json::Value post(const std::string& address, std::uint16_t port, const std::string& path, const Json::Value& body);
     Json::Value get(const std::string& address, std::uint16_t port, const std::string& path);
 
-    /// Tries the condition again and again; tells whether it has come to hold within the limit.
+    /// Polls the condition until it holds or the limit has passed; returns whether it holds.
     bool waitUntil(const std::function<bool()>& condition, Milliseconds limit);
 
 private:
--- a/tests/site/ChildProcess.cpp
+++ b/tests/site/ChildProcess.cpp
@@ -16,8 +16,8 @@
 namespace {
 
 constexpr Milliseconds pollInterval { 5 };
-constexpr int signalBase = 128;
-constexpr int cannotRun = 127;
+constexpr int signalStatusBase = 128;
+constexpr int cannotExecuteStatus = 127;
 
 [[noreturn]] void runProgram(std::vector<std::string>& command, const std::string& outputPath)
 {
@@ -31,7 +31,7 @@
     words.push_back(nullptr);
     execv(words[0], words.data());
     std::perror(words[0]);
-    _exit(cannotRun);
+    _exit(cannotExecuteStatus);
 }
 
 } // namespace
@@ -60,7 +60,7 @@
 {
     int state = 0;
     if (!this->status && waitpid(this->processId, &state, WNOHANG) == this->processId)
-        this->status = WIFEXITED(state) ? WEXITSTATUS(state) : signalBase + WTERMSIG(state);
+        this->status = WIFEXITED(state) ? WEXITSTATUS(state) : signalStatusBase + WTERMSIG(state);
     return this->status;
 }
 
--- a/tests/site/ChildProcess.h
+++ b/tests/site/ChildProcess.h
@@ -9,10 +9,11 @@
 
 namespace Greengage {
 
-/// A program started by a test. It is ended with the object, and by the kernel should the test itself die.
+/// A program started by a test. The destructor kills it; the kernel kills it if the test process ends first.
 class ChildProcess {
 public:
-    /// The first word is the program's path. Standard output and error are appended to the file.
+    /// The first element of the command is the path of the program. Standard output and standard error are appended to
+    /// the file.
     ChildProcess(std::vector<std::string> command, const std::string& outputPath);
     ~ChildProcess();
 
@@ -21,13 +22,13 @@
 
     pid_t id() const { return this->processId; }
 
-    /// Sends a signal, unless the process has ended.
+    /// Sends a signal unless the process has ended.
     void signal(int number);
 
-    /// The exit status if the process has ended, with 128 added to the number of a signal that ended it.
+    /// The exit status, or 128 plus the signal's number if a signal ended the process; nothing while it is running.
     std::optional<int> exitStatus();
 
-    /// Waits for the end; nothing if it has not come within the limit.
+    /// Waits until the process ends and returns its exit status; nothing if it has not ended within the limit.
     std::optional<int> wait(Milliseconds limit);
 
 private:
--- a/tests/site/DaemonPlace.h
+++ b/tests/site/DaemonPlace.h
@@ -4,7 +4,7 @@
 
 namespace Greengage {
 
-/// Where a daemon of a test site runs.
+/// Name, address and availability zone of a daemon of a test site.
 struct DaemonPlace {
     std::string name;
     std::string address;
--- a/tests/site/EndpointPlace.h
+++ b/tests/site/EndpointPlace.h
@@ -4,7 +4,7 @@
 
 namespace Greengage {
 
-/// Where an endpoint of a test site runs.
+/// VM, service, address, rack and availability zone of an endpoint of a test site.
 struct EndpointPlace {
     std::string vm;
     std::string service;
--- a/tests/site/PortBlock.cpp
+++ b/tests/site/PortBlock.cpp
@@ -25,18 +25,18 @@
 } // namespace
 
 PortBlock::PortBlock()
-    : marker(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0))
+    : markerSocket(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0))
 {
     for (int attempt = 0; attempt < blockCount; ++attempt) {
         int block = (getpid() + attempt) % blockCount;
         this->first = static_cast<std::uint16_t>(firstPort + block * PortBlock::size);
-        if (bindTo(this->marker, this->first + PortBlock::size - 1))
+        if (bindTo(this->markerSocket, this->first + PortBlock::size - 1))
             return;
     }
-    close(this->marker);
-    throw std::runtime_error("no range of ports is free");
+    close(this->markerSocket);
+    throw std::runtime_error("all ranges of test ports are in use");
 }
 
-PortBlock::~PortBlock() { close(this->marker); }
+PortBlock::~PortBlock() { close(this->markerSocket); }
 
 } // namespace Greengage
--- a/tests/site/PortBlock.h
+++ b/tests/site/PortBlock.h
@@ -4,7 +4,7 @@
 
 namespace Greengage {
 
-/// A range of ports that no other test on this machine uses while the object lives.
+/// A range of ports that no other test on this machine uses while the object exists.
 class PortBlock {
 public:
     static constexpr std::uint16_t size = 20;
@@ -19,8 +19,8 @@
 
 private:
     std::uint16_t first = 0;
-    /// Bound to the last port of the range, which marks the range as taken.
-    int marker = -1;
+    /// A socket bound to the last port of the range, which marks the range as in use.
+    int markerSocket = -1;
 };
 
 } // namespace Greengage
--- a/tests/site/ServicePlan.h
+++ b/tests/site/ServicePlan.h
@@ -4,11 +4,11 @@
 
 namespace Greengage {
 
-/// One service of a test site with the queue that leads to it.
+/// One service of a test site and the queue whose work it runs.
 struct ServicePlan {
     std::string service;
     std::string queue;
-    /// Team whose key callers of the queue show; empty for a queue that is open to all.
+    /// Team whose key the callers of the queue send; empty for a queue with open access.
     std::string team;
     bool idempotent = true;
     int endpoints = 8;
--- a/tests/site/Site.cpp
+++ b/tests/site/Site.cpp
@@ -35,16 +35,16 @@
 
 Site::Site(const SitePlan& plan)
     : plan(plan)
-    , places(plan)
-    , operatorsDocument(plan, places.vmsByService())
-    , folder(
-          std::filesystem::temp_directory_path() / fmt::format("greengage-site-{}-{}", getpid(), places.callerPort()))
+    , siteLayout(plan)
+    , operatorsDocument(plan, siteLayout.vmsByService())
+    , folder(std::filesystem::temp_directory_path()
+          / fmt::format("greengage-site-{}-{}", getpid(), siteLayout.callerPort()))
 {
     std::filesystem::remove_all(this->folder);
     std::filesystem::create_directories(this->folder);
     this->operatorHistory = std::make_unique<HistoryFile>(this->file("operators.history"));
-    this->daemons.resize(this->places.daemons().size());
-    for (const auto& place : this->places.endpoints())
+    this->daemons.resize(this->siteLayout.daemons().size());
+    for (const auto& place : this->siteLayout.endpoints())
         this->vmStates[place.vm] = "live";
 }
 
@@ -71,26 +71,26 @@
     this->startEndpoints();
     if (this->plan.relayed)
         this->startRelay();
-    this->waitForEndpoints();
-    this->listVms();
+    this->waitForStandins();
+    this->publishVms();
 }
 
 void Site::startStore()
 {
     this->store = this->start("store",
-        { "standin-store", "--address", SiteLayout::storeAddress(), "--port", std::to_string(this->places.storePort()),
-            "--control-port", std::to_string(this->places.storeControlPort()), "--history",
-            this->file("platform.history") });
+        { "standin-store", "--address", SiteLayout::storeAddress(), "--port",
+            std::to_string(this->siteLayout.storePort()), "--control-port",
+            std::to_string(this->siteLayout.storeControlPort()), "--history", this->file("platform.history") });
 }
 
 void Site::startEndpoints()
 {
     std::vector<std::string> command { "standin-minion", "--control-port",
-        std::to_string(this->places.minionControlPort()), "--history", this->file("endpoints.history"), "--run-ms",
+        std::to_string(this->siteLayout.minionControlPort()), "--history", this->file("endpoints.history"), "--run-ms",
         std::to_string(this->plan.runMilliseconds) };
-    for (const auto& place : this->places.endpoints()) {
+    for (const auto& place : this->siteLayout.endpoints()) {
         command.emplace_back("--endpoint");
-        command.push_back(endpointOption(place, this->places.endpointPort()));
+        command.push_back(endpointOption(place, this->siteLayout.endpointPort()));
     }
     this->endpoints = this->start("endpoints", command);
 }
@@ -98,20 +98,20 @@
 void Site::startRelay()
 {
     std::vector<std::string> command { "standin-relay", "--control-port",
-        std::to_string(this->places.relayControlPort()) };
+        std::to_string(this->siteLayout.relayControlPort()) };
     auto add = [&command](const std::string& address, std::uint16_t from, std::uint16_t to) {
         command.emplace_back("--route");
         command.push_back(routeOption(address, from, to));
     };
-    add(SiteLayout::storeAddress(), this->places.relayedStorePort(), this->places.storePort());
-    for (const auto& place : this->places.daemons())
-        add(place.address, this->places.relayedMeshPort(), this->places.meshPort());
-    for (const auto& place : this->places.endpoints())
-        add(place.address, this->places.relayedEndpointPort(), this->places.endpointPort());
+    add(SiteLayout::storeAddress(), this->siteLayout.relayedStorePort(), this->siteLayout.storePort());
+    for (const auto& place : this->siteLayout.daemons())
+        add(place.address, this->siteLayout.relayedMeshPort(), this->siteLayout.meshPort());
+    for (const auto& place : this->siteLayout.endpoints())
+        add(place.address, this->siteLayout.relayedEndpointPort(), this->siteLayout.endpointPort());
     this->relay = this->start("relay", command);
 }
 
-void Site::waitForEndpoints()
+void Site::waitForStandins()
 {
     auto answers = [this](std::uint16_t port, const std::string& path) {
         HttpCall call;
@@ -121,23 +121,23 @@
         return this->http.send(call).has_value();
     };
     auto allAnswer = [&] {
-        return answers(this->places.storeControlPort(), "/control/calls")
-            && answers(this->places.minionControlPort(), "/control/state")
-            && (!this->relay || answers(this->places.relayControlPort(), "/control/state"));
+        return answers(this->siteLayout.storeControlPort(), "/control/calls")
+            && answers(this->siteLayout.minionControlPort(), "/control/state")
+            && (!this->relay || answers(this->siteLayout.relayControlPort(), "/control/state"));
     };
     if (!this->http.waitUntil(allAnswer, Site::waitLimit))
-        throw std::runtime_error("stand-ins do not answer; see " + this->folder.string());
+        throw std::runtime_error("stand-ins have not answered in time; see the logs in " + this->folder.string());
 }
 
-void Site::listVms()
+void Site::publishVms()
 {
     Json::Value settings;
     settings["vms"] = Json::arrayValue;
-    for (const auto& place : this->places.endpoints()) {
+    for (const auto& place : this->siteLayout.endpoints()) {
         Json::Value vm;
         vm["id"] = place.vm;
         vm["address"] = place.address;
-        vm["port"] = this->plan.relayed ? this->places.relayedEndpointPort() : this->places.endpointPort();
+        vm["port"] = this->plan.relayed ? this->siteLayout.relayedEndpointPort() : this->siteLayout.endpointPort();
         vm["zone"] = "zone-" + std::to_string(place.zone);
         vm["rack"] = place.rack;
         vm["state"] = this->vmStates[place.vm];
@@ -149,13 +149,13 @@
 void Site::setVmState(const std::string& vm, const std::string& state)
 {
     this->vmStates[vm] = state;
-    this->listVms();
+    this->publishVms();
 }
 
 void Site::startDaemon(std::size_t index)
 {
-    const auto& name = this->places.daemons()[index].name;
-    std::ofstream(this->file(name + ".ini")) << SiteSettings::text(this->places, index, this->plan.relayed);
+    const auto& name = this->siteLayout.daemons()[index].name;
+    std::ofstream(this->file(name + ".ini")) << SiteSettings::text(this->siteLayout, index, this->plan.relayed);
     this->daemons[index] = this->start(name, { "greengaged", "--settings", this->file(name + ".ini") });
 }
 
@@ -166,15 +166,16 @@
     for (std::size_t index = 0; index < this->daemons.size(); ++index) {
         auto answersAdmin = [&] { return this->http.send(this->adminCall(index, "/v1/status")).has_value(); };
         if (!this->http.waitUntil(answersAdmin, Site::waitLimit))
-            throw std::runtime_error("daemon does not answer; see " + this->folder.string());
+            throw std::runtime_error(this->siteLayout.daemons()[index].name
+                + " has not answered in time; see the logs in " + this->folder.string());
     }
 }
 
 bool Site::answersHealth(std::size_t index)
 {
     HttpCall call;
-    call.address = this->places.daemons()[index].address;
-    call.port = this->places.callerPort();
+    call.address = this->siteLayout.daemons()[index].address;
+    call.port = this->siteLayout.callerPort();
     call.path = "/healthz";
     auto outcome = this->http.send(call);
     return outcome && outcome.value().status == 200;
@@ -183,8 +184,8 @@
 HttpCall Site::adminCall(std::size_t daemonIndex, const std::string& path) const
 {
     HttpCall call;
-    call.address = this->places.daemons()[daemonIndex].address;
-    call.port = this->places.adminPort();
+    call.address = this->siteLayout.daemons()[daemonIndex].address;
+    call.port = this->siteLayout.adminPort();
     call.path = path;
     call.headers.push_back({ "Authorization", std::string("Bearer ") + SiteSettings::operatorKey });
     call.timeout = Site::waitLimit;
@@ -203,7 +204,7 @@
         return json && (*json)["inForceRevision"].asUInt64() >= revision;
     };
     if (!this->http.waitUntil(isInForce, Site::waitLimit))
-        throw std::runtime_error("document is not in force in time; see " + this->folder.string());
+        throw std::runtime_error("document has not come into force in time; see the logs in " + this->folder.string());
 }
 
 std::uint64_t Site::submitDocument(std::size_t daemonIndex)
@@ -224,7 +225,7 @@
         return outcome && outcome.value().status == 200;
     };
     if (!this->http.waitUntil(isAccepted, Site::waitLimit))
-        throw std::runtime_error("document is not accepted: " + last);
+        throw std::runtime_error("document has not been accepted in time; last answer: " + last);
     return parseJsonObject(last.substr(last.find(' ') + 1)).value()["revision"].asUInt64();
 }
 
@@ -233,8 +234,8 @@
     for (const auto& [team, limit] : this->operatorsDocument.teamLimits()) {
         auto known = this->recordedLimits.find(team);
         bool isRaise = known == this->recordedLimits.end() || known->second < limit;
-        bool isLoss = !isRaise && known->second > limit;
-        if (raised ? !isRaise : !isLoss)
+        bool isReduction = !isRaise && known->second > limit;
+        if (raised ? !isRaise : !isReduction)
             continue;
         this->recordedLimits[team] = limit;
         this->operatorHistory->append(
@@ -255,19 +256,19 @@
     auto keyFile = this->file("operator.key");
     std::ofstream(keyFile) << SiteSettings::operatorKey << "\n";
     std::vector<std::string> words { "greengagectl", "--key-file", keyFile };
-    for (const auto& place : this->places.daemons())
-        words.insert(words.end(), { "--daemon", fmt::format("{}:{}", place.address, this->places.adminPort()) });
+    for (const auto& place : this->siteLayout.daemons())
+        words.insert(words.end(), { "--daemon", fmt::format("{}:{}", place.address, this->siteLayout.adminPort()) });
     words.insert(words.end(), command.begin(), command.end());
     auto process = this->start("operator", words);
     return process->wait(Site::waitLimit).value_or(-1);
 }
 
-void Site::requireOperated(const std::vector<std::string>& command)
+void Site::runCtlOrThrow(const std::vector<std::string>& command)
 {
     auto code = this->operate(command);
     if (code != 0)
-        throw std::runtime_error(
-            fmt::format("greengagectl {} ended with {}; see {}", command[0], code, this->file("operator.log")));
+        throw std::runtime_error(fmt::format(
+            "greengagectl {} ended with exit code {}; see {}", command[0], code, this->file("operator.log")));
 }
 
 void Site::applyAsOperator()
@@ -275,17 +276,17 @@
     auto path = this->file("document.ini");
     std::ofstream(path) << this->operatorsDocument.text();
     this->recordLimits(true);
-    this->requireOperated({ "apply", "--author", "demo", "--base", "0", path });
+    this->runCtlOrThrow({ "apply", "--author", "demo", "--base", "0", path });
 }
 
 void Site::withdrawAsOperator(const std::string& key)
 {
     this->operatorsDocument.withdrawKey(key);
     this->recordWithdrawals();
-    this->requireOperated({ "key", "withdraw", "--author", "demo", key });
+    this->runCtlOrThrow({ "key", "withdraw", "--author", "demo", key });
 }
 
-void Site::startWaveAsOperator(const std::string& wave) { this->requireOperated({ "wave", "start", wave }); }
+void Site::startWaveAsOperator(const std::string& wave) { this->runCtlOrThrow({ "wave", "start", wave }); }
 
 bool Site::waitForWave(const std::string& wave, Milliseconds limit)
 {
@@ -305,17 +306,17 @@
 
 void Site::controlStore(const Json::Value& settings)
 {
-    this->http.post(SiteLayout::storeAddress(), this->places.storeControlPort(), "/control", settings);
+    this->http.post(SiteLayout::storeAddress(), this->siteLayout.storeControlPort(), "/control", settings);
 }
 
 void Site::controlEndpoints(const Json::Value& settings)
 {
-    this->http.post(SiteLayout::storeAddress(), this->places.minionControlPort(), "/control", settings);
+    this->http.post(SiteLayout::storeAddress(), this->siteLayout.minionControlPort(), "/control", settings);
 }
 
 int Site::sumOverEndpoints(const std::string& name)
 {
-    auto state = this->http.get(SiteLayout::storeAddress(), this->places.minionControlPort(), "/control/state");
+    auto state = this->http.get(SiteLayout::storeAddress(), this->siteLayout.minionControlPort(), "/control/state");
     int sum = 0;
     for (const auto& endpoint : state["endpoints"])
         sum += endpoint[name].asInt();
@@ -324,16 +325,16 @@
 
 void Site::controlRelay(const Json::Value& settings)
 {
-    this->http.post(SiteLayout::storeAddress(), this->places.relayControlPort(), "/control", settings);
+    this->http.post(SiteLayout::storeAddress(), this->siteLayout.relayControlPort(), "/control", settings);
 }
 
-std::string Site::fullLoad(const std::string& load) const
+std::string Site::completeLoad(const std::string& load) const
 {
     auto queue = KeyValueLine::parse(load).value().text("queue");
     auto isQueue = [&queue](const ServicePlan& service) { return service.queue == queue; };
     auto service = std::find_if(this->plan.services.begin(), this->plan.services.end(), isQueue);
     if (service == this->plan.services.end())
-        throw std::runtime_error("no queue " + queue);
+        throw std::runtime_error("queue \"" + queue + "\" is not in the site's plan");
     return fmt::format("{} team={} bearer={} idempotent={}", load, service->team, SiteDocument::bearer(service->team),
         service->idempotent);
 }
@@ -348,12 +349,12 @@
     for (std::size_t index = 0; index < this->daemons.size(); ++index) {
         bool isChosen = daemonIndices.empty()
             || std::find(daemonIndices.begin(), daemonIndices.end(), index) != daemonIndices.end();
-        auto where = fmt::format("{}:{}", this->places.daemons()[index].address, this->places.callerPort());
+        auto where = fmt::format("{}:{}", this->siteLayout.daemons()[index].address, this->siteLayout.callerPort());
         if (isChosen)
             command.insert(command.end(), { "--daemon", where });
     }
     for (const auto& load : loads)
-        command.insert(command.end(), { "--load", this->fullLoad(load) });
+        command.insert(command.end(), { "--load", this->completeLoad(load) });
     command.insert(command.end(), options.begin(), options.end());
     this->callers.push_back(this->start(name, command));
     return *this->callers.back();
--- a/tests/site/SiteDocument.cpp
+++ b/tests/site/SiteDocument.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::string_view salt = "00112233445566778899aabbccddeeff";
 
-/// Owner of the queues that are open to all, for whose limit their work counts.
+/// Team that owns the queues with open access. Work of these queues counts towards its limit.
 constexpr std::string_view openTeam = "visitors";
 
 std::string secretOf(const std::string& key) { return "secret-of-" + key; }
--- a/tests/site/SiteDocument.h
+++ b/tests/site/SiteDocument.h
@@ -9,15 +9,15 @@
 
 namespace Greengage {
 
-/// The operators' document of a test site, as it is edited in the course of a test.
+/// The operators' document of a test site. A test may edit it while the site is running.
 class SiteDocument {
 public:
-    /// `vms` gives the VM ids of each service. Each team gets one key, "<team>-1".
+    /// `vms` has the VM ids of each service. Each team gets one key, named "<team>-1".
     SiteDocument(const SitePlan&, std::map<std::string, std::vector<std::string>> vms);
 
     void withdrawKey(const std::string& key) { this->withdrawn.insert(key); }
     void setLimit(const std::string& team, int limit) { this->limits[team] = limit; }
-    /// Sections that are put at the document's end, such as waves.
+    /// Appends sections, such as waves, at the end of the document.
     void append(const std::string& sections) { this->extra += sections; }
 
     const std::set<std::string>& withdrawnKeys() const { return this->withdrawn; }
@@ -25,7 +25,7 @@
 
     std::string text() const;
 
-    /// What a team's callers show.
+    /// The API key that a team's callers send as bearer token; empty without a team.
     static std::string bearer(const std::string& team);
 
 private:
--- a/tests/site/SiteLayout.h
+++ b/tests/site/SiteLayout.h
@@ -11,15 +11,15 @@
 
 namespace Greengage {
 
-/// The addresses and ports of a test site. All daemons have the same ports on addresses of their own.
+/// The addresses and ports of a test site. All daemons use the same ports, each on its own address.
 class SiteLayout {
 public:
     explicit SiteLayout(const SitePlan&);
 
     static std::string storeAddress() { return "127.3.0.1"; }
-    /// Where callers of a zone come from.
+    /// Source address of the callers in a zone.
     static std::string callerAddress(int zone) { return "127.4." + std::to_string(zone) + ".1"; }
-    /// Beginning of the addresses of a zone's daemons and of its endpoints.
+    /// Address prefixes of the daemons and of the endpoints in a zone.
     static std::string daemonPrefix(int zone) { return "127.1." + std::to_string(zone) + "."; }
     static std::string endpointPrefix(int zone) { return "127.2." + std::to_string(zone) + "."; }
 
--- a/tests/site/SiteSettings.cpp
+++ b/tests/site/SiteSettings.cpp
@@ -9,7 +9,8 @@
 
 constexpr const char* operatorSalt = "ffeeddccbbaa99887766554433221100";
 
-/// The other daemons, one an indented line, since a line of settings is bounded.
+/// The addresses of the other daemons, each on an indented line of its own, since the length of a settings line is
+/// limited.
 std::string peersOf(const SiteLayout& layout, const DaemonPlace& place, std::uint16_t meshPort)
 {
     std::string peers;
--- a/tests/site/SiteSettings.h
+++ b/tests/site/SiteSettings.h
@@ -7,12 +7,12 @@
 
 class SiteLayout;
 
-/// The settings files of a test site's daemons.
+/// The settings files of the daemons of a test site.
 class SiteSettings {
 public:
     static constexpr const char* operatorKey = "operator-key";
 
-    /// The settings of the daemon at that place in the layout.
+    /// The settings of the daemon with this index in the layout.
     static std::string text(const SiteLayout&, std::size_t index, bool relayed);
 };
 
--- a/tests/site/tests/SiteTests.cpp
+++ b/tests/site/tests/SiteTests.cpp
@@ -17,7 +17,7 @@
 
 BOOST_AUTO_TEST_SUITE(SiteOfProcesses)
 
-BOOST_AUTO_TEST_CASE(childReportsHowItEnded)
+BOOST_AUTO_TEST_CASE(childReportsItsExitStatus)
 {
     ChildProcess good({ "/bin/true" }, outputPath());
     BOOST_TEST((good.wait(endLimit) == 0));
@@ -28,7 +28,7 @@
     BOOST_TEST((killed.wait(endLimit) == 128 + SIGKILL));
 }
 
-BOOST_AUTO_TEST_CASE(childEndsWithItsObject)
+BOOST_AUTO_TEST_CASE(destructorKillsTheChild)
 {
     pid_t id = 0;
     {
