--- a/tests/fuzz/FuzzInput.h
+++ b/tests/fuzz/FuzzInput.h
@@ -7,13 +7,13 @@
 
 namespace Greengage {
 
-/// The bytes that libFuzzer gives a target, as text.
-inline std::string fuzzText(const std::uint8_t* data, std::size_t size)
+/// Converts the bytes that libFuzzer passes to a target into text.
+inline std::string inputText(const std::uint8_t* data, std::size_t size)
 {
     return { reinterpret_cast<const char*>(data), size };
 }
 
-/// Ends the process if a property of the target does not hold, which libFuzzer reports with the input.
+/// Traps if a property of the target does not hold, so that libFuzzer reports the input as a crash.
 inline void requireProperty(bool holds)
 {
     if (!holds)
--- a/tests/fuzz/FuzzTests.cpp
+++ b/tests/fuzz/FuzzTests.cpp
@@ -22,8 +22,8 @@
     return { std::istreambuf_iterator<char>(stream), {} };
 }
 
-/// Runs a fuzzer over its committed corpus and a fixed count of inputs made from it. New inputs are dropped; one that
-/// breaks the target is kept in the build folder.
+/// Runs a fuzzer on its committed corpus and on inputs derived from it, a fixed number in all. New inputs are
+/// discarded; an input that crashes the target is kept in the build folder.
 void fuzz(const std::string& target)
 {
     auto folder
--- a/tests/fuzz/targets/admin.cpp
+++ b/tests/fuzz/targets/admin.cpp
@@ -5,8 +5,9 @@
 
 namespace {
 
-/// Whatever is decoded gives the same text when it is encoded, decoded and encoded again.
-template <typename Encode, typename Decode> void requireStable(const std::string& text, Encode encode, Decode decode)
+/// Requires that a value that was decoded encodes to the same text before and after another round trip.
+template <typename Encode, typename Decode>
+void requireStableEncoding(const std::string& text, Encode encode, Decode decode)
 {
     auto decoded = decode(text);
     if (decoded.has_error())
@@ -20,13 +21,13 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size)
 {
-    auto text = fuzzText(data, size);
-    requireStable(text, DocumentCodec::encode, DocumentCodec::decode);
-    requireStable(text, AdminCodec::encodeSubmission, AdminCodec::decodeSubmission);
-    requireStable(text, AdminCodec::encodeAnswer, AdminCodec::decodeAnswer);
-    requireStable(text, AdminCodec::encodeConflicts, AdminCodec::decodeConflicts);
-    requireStable(text, AdminCodec::encodeErrors, AdminCodec::decodeErrors);
-    requireStable(text, StatusCodec::encode, StatusCodec::decode);
+    auto text = inputText(data, size);
+    requireStableEncoding(text, DocumentCodec::encode, DocumentCodec::decode);
+    requireStableEncoding(text, AdminCodec::encodeSubmission, AdminCodec::decodeSubmission);
+    requireStableEncoding(text, AdminCodec::encodeAnswer, AdminCodec::decodeAnswer);
+    requireStableEncoding(text, AdminCodec::encodeConflicts, AdminCodec::decodeConflicts);
+    requireStableEncoding(text, AdminCodec::encodeErrors, AdminCodec::decodeErrors);
+    requireStableEncoding(text, StatusCodec::encode, StatusCodec::decode);
     auto submission = AdminCodec::decodeSubmission(text);
     if (submission.has_value())
         DocumentAcceptance::judge({}, {}, submission.value(), 0);
--- a/tests/fuzz/targets/document.cpp
+++ b/tests/fuzz/targets/document.cpp
@@ -3,11 +3,11 @@
 
 using namespace Greengage;
 
-/// A text is either a document or has faults; a document survives encoding, division into blocks and merging with
-/// itself, and its comparison with itself is empty.
+/// Parses the text as an operators' document. A text that is refused must have errors; a document must survive encoding
+/// and division into blocks. Merging with an unchanged text has no conflicts, and a text does not differ from itself.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size)
 {
-    auto text = fuzzText(data, size);
+    auto text = inputText(data, size);
     auto parsed = DocumentParser().parse(text);
     auto blocks = divideIntoBlocks(text);
     requireProperty(joinBlocks(divideIntoBlocks(joinBlocks(blocks))) == joinBlocks(blocks));
--- a/tests/fuzz/targets/endpoint.cpp
+++ b/tests/fuzz/targets/endpoint.cpp
@@ -3,9 +3,9 @@
 
 using namespace Greengage;
 
-/// An endpoint's list of running work.
+/// Parses an endpoint's list of running work.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size)
 {
-    auto running = parseRunning(fuzzText(data, size));
+    auto running = parseRunning(inputText(data, size));
     return 0;
 }
--- a/tests/fuzz/targets/ledger.cpp
+++ b/tests/fuzz/targets/ledger.cpp
@@ -4,10 +4,11 @@
 
 using namespace Greengage;
 
-/// The ledger of maintenance and the book of allotments, which the store keeps: what is decoded survives encoding.
+/// Decodes the maintenance ledger and the allotments of limits, both kept in the store. What is decoded must survive
+/// encoding.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size)
 {
-    auto text = fuzzText(data, size);
+    auto text = inputText(data, size);
     auto book = AllotmentBook::parse(text);
     if (book.has_value())
         requireProperty(AllotmentBook::parse(book.value().format()).value().format() == book.value().format());
--- a/tests/fuzz/targets/mesh.cpp
+++ b/tests/fuzz/targets/mesh.cpp
@@ -8,10 +8,11 @@
 
 using namespace Greengage;
 
-/// Lines from a peer: answers, and the states within questions and answers.
+/// Parses lines from a peer daemon: replies, and the peer states that requests and replies contain. A decoded state
+/// must survive encoding.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size)
 {
-    auto text = fuzzText(data, size);
+    auto text = inputText(data, size);
     auto reply = parseReply(text);
     auto json = parseJson(text);
     if (json.has_error())
--- a/tests/fuzz/targets/settings.cpp
+++ b/tests/fuzz/targets/settings.cpp
@@ -3,10 +3,10 @@
 
 using namespace Greengage;
 
-/// A text is either settings in range or has faults.
+/// Parses settings. A text that is refused must have errors; accepted settings must be within range.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size)
 {
-    auto parsed = SettingsParser().parse(fuzzText(data, size));
+    auto parsed = SettingsParser().parse(inputText(data, size));
     if (parsed.has_error())
         requireProperty(!parsed.error().isEmpty());
     else
--- a/tests/fuzz/targets/store.cpp
+++ b/tests/fuzz/targets/store.cpp
@@ -10,10 +10,10 @@
 
 using namespace Greengage;
 
-/// Answers of the store and the VM list, and the members' records kept there.
+/// Parses answers of the store and of the VM list, and the member records kept in the store.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size)
 {
-    auto text = fuzzText(data, size);
+    auto text = inputText(data, size);
     auto member = MemberCodec::decode(text);
     if (member.has_value())
         requireProperty(MemberCodec::decode(MemberCodec::encode(member.value())).has_value());
--- a/tests/support/ChildProcess.cpp
+++ b/tests/support/ChildProcess.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr auto hangBound = std::chrono::seconds(60);
+constexpr auto hangTimeout = std::chrono::seconds(60);
 constexpr auto pollInterval = std::chrono::milliseconds(5);
 constexpr int signalExitBase = 128;
 
@@ -63,8 +63,8 @@
 
 std::optional<int> ChildProcess::awaitExit()
 {
-    auto giveUp = std::chrono::steady_clock::now() + hangBound;
-    while (!this->exitCode() && std::chrono::steady_clock::now() < giveUp)
+    auto deadline = std::chrono::steady_clock::now() + hangTimeout;
+    while (!this->exitCode() && std::chrono::steady_clock::now() < deadline)
         std::this_thread::sleep_for(pollInterval);
     return this->code;
 }
--- a/tests/support/ChildProcess.h
+++ b/tests/support/ChildProcess.h
@@ -7,7 +7,7 @@
 
 namespace Greengage {
 
-/// A program started by a test, with its output in a file. It is killed when this object goes, if it still runs.
+/// A program started by a test, with its output in a file. The destructor kills it if it is still running.
 class ChildProcess {
 public:
     ChildProcess(const std::string& program, const std::vector<std::string>& arguments, const std::string& outputFile);
@@ -18,15 +18,15 @@
 
     void signal(int number) const;
 
-    /// The exit code, 128 plus the signal's number if one ended it, or nothing while it runs.
+    /// The exit code, or 128 plus the signal's number if a signal ended the program; nothing while it is running.
     std::optional<int> exitCode();
 
-    /// Waits for its end; gives up after a bound that only a hang reaches.
+    /// Waits until the program ends. Gives up after 60 seconds, which only a hanging program takes.
     std::optional<int> awaitExit();
 
     pid_t id() const { return this->process; }
 
-    /// Everything that it has printed.
+    /// Everything that the program has printed so far.
     std::string output() const;
 
 private:
--- a/tests/support/HttpTalk.cpp
+++ b/tests/support/HttpTalk.cpp
@@ -10,12 +10,12 @@
 
 namespace {
 
-constexpr timeval hangBound { 60, 0 };
+constexpr timeval hangTimeout { 60, 0 };
 
 int connectTo(const std::string& address, std::uint16_t port)
 {
     int socket = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-    setsockopt(socket, SOL_SOCKET, SO_RCVTIMEO, &hangBound, sizeof(hangBound));
+    setsockopt(socket, SOL_SOCKET, SO_RCVTIMEO, &hangTimeout, sizeof(hangTimeout));
     sockaddr_in target {};
     target.sin_family = AF_INET;
     target.sin_port = htons(port);
--- a/tests/support/HttpTalk.h
+++ b/tests/support/HttpTalk.h
@@ -6,11 +6,11 @@
 
 namespace Greengage {
 
-/// An HTTP response as a test sees it.
+/// An HTTP response as received by a test.
 struct HttpTalkReply {
-    /// Whether a connection was made; if not, nothing was sent.
+    /// Whether a connection was established; if not, nothing was sent.
     bool connected = false;
-    /// 0 if no whole response came.
+    /// 0 if no complete response arrived.
     int status = 0;
     std::string head;
     std::string body;
@@ -18,7 +18,8 @@
     bool headHas(const std::string& text) const { return this->head.find(text) != std::string::npos; }
 };
 
-/// One blocking HTTP exchange on a connection of its own. `headers` are whole lines without their ends.
+/// Sends one HTTP request on a new connection and blocks until the response is complete or 60 seconds pass without
+/// data. `headers` are header lines without line ends.
 HttpTalkReply talkHttp(const std::string& address, std::uint16_t port, const std::string& method,
     const std::string& path, const std::vector<std::string>& headers = {}, const std::string& body = {});
 
--- a/tests/support/LoopRunner.h
+++ b/tests/support/LoopRunner.h
@@ -8,18 +8,19 @@
 
 namespace Greengage {
 
-/// A loop for one test.
+/// An event loop for one test.
 class LoopRunner {
 public:
     event_base& base() { return *this->loop; }
 
-    /// Runs until the condition holds; gives up after a bound that only a hang reaches. Returns whether it held.
+    /// Runs until the condition holds and returns true. Gives up after 20 seconds, which only a hanging test takes, and
+    /// returns false.
     bool runUntil(const std::function<bool()>& condition)
     {
-        constexpr Seconds hangBound { 20 };
-        Instant giveUp = BootClock::now() + hangBound;
+        constexpr Seconds hangTimeout { 20 };
+        Instant deadline = BootClock::now() + hangTimeout;
         while (!condition()) {
-            if (BootClock::now() > giveUp)
+            if (BootClock::now() > deadline)
                 return false;
             timeval step { 0, 2000 };
             event_base_loopexit(this->loop.get(), &step);
--- a/tests/support/ScriptedServer.cpp
+++ b/tests/support/ScriptedServer.cpp
@@ -51,9 +51,9 @@
     this->bytesReceived += request.size();
     Reply reply = this->script(request);
     if (reply.close) {
-        // Written past the buffer, so that the close comes right after the bytes.
+        // Written to the socket directly, not through the output buffer, which closing the connection would discard.
         send(bufferevent_getfd(from), reply.bytes.data(), reply.bytes.size(), MSG_NOSIGNAL);
-        std::erase_if(this->open, [from](const EventPointer<bufferevent>& held) { return held.get() == from; });
+        std::erase_if(this->open, [from](const EventPointer<bufferevent>& other) { return other.get() == from; });
         return;
     }
     bufferevent_write(from, reply.bytes.data(), reply.bytes.size());
--- a/tests/support/ScriptedServer.h
+++ b/tests/support/ScriptedServer.h
@@ -10,8 +10,8 @@
 
 namespace Greengage {
 
-/// A TCP server for tests: answers whatever one read brings with the bytes that a script returns, and closes the
-/// connection if the script says so.
+/// A TCP server for tests. It passes the bytes of each read to a script, answers with the bytes that the script
+/// returns, and closes the connection if the script says so.
 class ScriptedServer {
 public:
     struct Reply {
