--- a/tests/measure/capacity/CapacityProbe.cpp
+++ b/tests/measure/capacity/CapacityProbe.cpp
@@ -17,8 +17,8 @@
 
 namespace {
 
-constexpr int fewRepeats = 5;
-constexpr int manyRepeats = 200;
+constexpr int slowOperationRepeats = 5;
+constexpr int tickRepeats = 200;
 constexpr Milliseconds tickInterval { 50 };
 
 std::string compact(const Json::Value& value)
@@ -32,8 +32,8 @@
 {
     auto parsed = DocumentParser().parse(fleet.documentText(), 1);
     if (!parsed.has_value())
-        std::fputs(parsed.error().describe("synthetic").c_str(), stderr);
-    assertInvariant(parsed.has_value(), "the synthetic document is right");
+        std::fputs(parsed.error().describe("synthetic document").c_str(), stderr);
+    assertInvariant(parsed.has_value(), "the synthetic document parses");
     return std::make_shared<Document>(std::move(parsed.value()));
 }
 
@@ -56,7 +56,7 @@
     return this->readings;
 }
 
-void CapacityProbe::add(const char* part, const char* unit, const char* driver, int driverAmount, double cost)
+void CapacityProbe::addReading(const char* part, const char* unit, const char* driver, int driverAmount, double cost)
 {
     this->readings.push_back({ part, unit, driver, static_cast<double>(driverAmount), cost });
 }
@@ -67,16 +67,17 @@
     auto record = DocumentCodec::encode(this->fleet.documentRecord());
     int entries = this->size.endpoints + this->size.workers + 2 * this->size.teams;
     const char* driver = "VMs + teams + keys";
-    this->add("document record in the store", "bytes", driver, entries, static_cast<double>(record.size()));
-    this->add("decode a document record", "us", driver, entries, CostMeter::microsecondsOf(fewRepeats, [&] {
-        assertInvariant(DocumentCodec::decode(record).has_value(), "ok");
-    }));
-    this->add("parse and check a document", "us", driver, entries, CostMeter::microsecondsOf(fewRepeats, [&] {
-        assertInvariant(DocumentParser().parse(text).has_value(), "ok");
-    }));
+    this->addReading("document record in the store", "bytes", driver, entries, static_cast<double>(record.size()));
+    this->addReading(
+        "decode a document record", "us", driver, entries, CostMeter::microsecondsOf(slowOperationRepeats, [&] {
+            assertInvariant(DocumentCodec::decode(record).has_value(), "the synthetic document record decodes");
+        }));
+    this->addReading("parse and check a document", "us", driver, entries,
+        CostMeter::microsecondsOf(slowOperationRepeats,
+            [&] { assertInvariant(DocumentParser().parse(text).has_value(), "the synthetic document parses"); }));
     double before = CostMeter::heapBytes();
     auto document = parseDocument(this->fleet);
-    this->add("parsed document", "bytes of heap", driver, entries, CostMeter::heapBytes() - before);
+    this->addReading("parsed document", "bytes of heap", driver, entries, CostMeter::heapBytes() - before);
 }
 
 void CapacityProbe::measureVmList()
@@ -85,9 +86,10 @@
     answer.status = 200;
     answer.body = this->fleet.vmListJson();
     int vms = this->size.endpoints + this->size.workers;
-    this->add("VM list", "bytes", "VMs", vms, static_cast<double>(answer.body.size()));
-    this->add("decode a VM list", "us", "VMs", vms, CostMeter::microsecondsOf(fewRepeats, [&] {
-        assertInvariant(StoreAnswers::toVms(StoreAnswers::parse(answer).value()).has_value(), "ok");
+    this->addReading("VM list", "bytes", "VMs", vms, static_cast<double>(answer.body.size()));
+    this->addReading("decode a VM list", "us", "VMs", vms, CostMeter::microsecondsOf(slowOperationRepeats, [&] {
+        assertInvariant(
+            StoreAnswers::toVms(StoreAnswers::parse(answer).value()).has_value(), "the synthetic VM list decodes");
     }));
 }
 
@@ -95,18 +97,19 @@
 {
     auto state = this->fleet.peerState(0);
     auto text = compact(PeerStateCodec::toJson(state));
-    this->add("peer state, all teams busy", "bytes", "teams", this->size.teams, static_cast<double>(text.size()));
-    this->add(
-        "encode and decode a peer state", "us", "teams", this->size.teams, CostMeter::microsecondsOf(fewRepeats, [&] {
+    this->addReading(
+        "peer state, all teams busy", "bytes", "teams", this->size.teams, static_cast<double>(text.size()));
+    this->addReading("encode and decode a peer state", "us", "teams", this->size.teams,
+        CostMeter::microsecondsOf(slowOperationRepeats, [&] {
             auto encoded = compact(PeerStateCodec::toJson(state));
             Json::Value decoded;
             std::unique_ptr<Json::CharReader> reader(Json::CharReaderBuilder().newCharReader());
             reader->parse(encoded.data(), encoded.data() + encoded.size(), &decoded, nullptr);
-            assertInvariant(PeerStateCodec::fromJson(decoded).has_value(), "ok");
+            assertInvariant(PeerStateCodec::fromJson(decoded).has_value(), "the synthetic peer state decodes");
         }));
     state.demand.clear();
     text = compact(PeerStateCodec::toJson(state));
-    this->add("peer state, no work", "bytes", "daemons", this->size.daemons, static_cast<double>(text.size()));
+    this->addReading("peer state, no work", "bytes", "daemons", this->size.daemons, static_cast<double>(text.size()));
 }
 
 void CapacityProbe::measureAllotments()
@@ -119,9 +122,10 @@
     auto text = book.format();
     int entries = this->size.teams * this->size.daemons;
     const char* driver = "teams x daemons";
-    this->add("allotment book, all teams busy", "bytes", driver, entries, static_cast<double>(text.size()));
-    this->add("decode an allotment book", "us", driver, entries,
-        CostMeter::microsecondsOf(fewRepeats, [&] { assertInvariant(AllotmentBook::parse(text).has_value(), "ok"); }));
+    this->addReading("allotment book, all teams busy", "bytes", driver, entries, static_cast<double>(text.size()));
+    this->addReading("decode an allotment book", "us", driver, entries,
+        CostMeter::microsecondsOf(slowOperationRepeats,
+            [&] { assertInvariant(AllotmentBook::parse(text).has_value(), "the synthetic allotment book decodes"); }));
 }
 
 void CapacityProbe::measureRequestPlane()
@@ -136,26 +140,27 @@
         state.demand.clear();
         inputs.emplace_back(PeerHeard { state, clock.current() });
     }
-    this->answerAllotments(plane, clock.current(), plane.tick(clock.current(), std::move(inputs)));
+    this->confirmAllotments(plane, clock.current(), plane.tick(clock.current(), std::move(inputs)));
     int vms = this->size.endpoints + this->size.workers;
-    this->add("request plane", "bytes of heap", "VMs", vms, CostMeter::heapBytes() - before);
-    this->add(
-        "request plane's tick, no work", "us", "teams", this->size.teams, CostMeter::microsecondsOf(manyRepeats, [&] {
+    this->addReading("request plane", "bytes of heap", "VMs", vms, CostMeter::heapBytes() - before);
+    this->addReading(
+        "request plane's tick, no work", "us", "teams", this->size.teams, CostMeter::microsecondsOf(tickRepeats, [&] {
             clock.advance(tickInterval);
             auto outputs = plane.tick(clock.current(), { StoreConfirmed { clock.current(), 1 } });
-            this->answerAllotments(plane, clock.current(), outputs);
+            this->confirmAllotments(plane, clock.current(), outputs);
         }));
-    this->add("request plane takes a VM list", "us", "VMs", vms, CostMeter::microsecondsOf(fewRepeats, [&] {
-        plane.tick(clock.current(), { EndpointsListed { this->fleet.vms(), {}, 0 } });
-    }));
-    auto heard = this->fleet.peerState(1);
-    this->add(
-        "request plane takes a peer state", "us", "teams", this->size.teams, CostMeter::microsecondsOf(fewRepeats, [&] {
-            plane.tick(clock.current(), { PeerHeard { heard, clock.current() } });
+    this->addReading(
+        "request plane takes a VM list", "us", "VMs", vms, CostMeter::microsecondsOf(slowOperationRepeats, [&] {
+            plane.tick(clock.current(), { EndpointsListed { this->fleet.vms(), {}, 0 } });
+        }));
+    auto otherState = this->fleet.peerState(1);
+    this->addReading("request plane takes a peer state", "us", "teams", this->size.teams,
+        CostMeter::microsecondsOf(slowOperationRepeats, [&] {
+            plane.tick(clock.current(), { PeerHeard { otherState, clock.current() } });
         }));
 }
 
-void CapacityProbe::answerAllotments(RequestPlane& plane, Instant now, const std::vector<RequestOutput>& outputs)
+void CapacityProbe::confirmAllotments(RequestPlane& plane, Instant now, const std::vector<RequestOutput>& outputs)
 {
     for (const auto& output : outputs) {
         if (const auto* update = std::get_if<UpdateAllotments>(&output))
@@ -173,11 +178,12 @@
         { DocumentApplied { parseDocument(this->fleet) }, EndpointsListed { this->fleet.vms(), {}, 0 }, members,
             LedgerRead { clock.current(), 0, "" } });
     int vms = this->size.endpoints + this->size.workers;
-    this->add("maintenance plane", "bytes of heap", "VMs", vms, CostMeter::heapBytes() - before);
-    this->add("maintenance plane's tick, no wave", "us", "VMs", vms, CostMeter::microsecondsOf(fewRepeats, [&] {
-        clock.advance(Milliseconds(250));
-        plane.tick(clock.current(), {});
-    }));
+    this->addReading("maintenance plane", "bytes of heap", "VMs", vms, CostMeter::heapBytes() - before);
+    this->addReading(
+        "maintenance plane's tick, no wave", "us", "VMs", vms, CostMeter::microsecondsOf(slowOperationRepeats, [&] {
+            clock.advance(Milliseconds(250));
+            plane.tick(clock.current(), {});
+        }));
 }
 
 } // namespace Greengage
--- a/tests/measure/capacity/CapacityProbe.h
+++ b/tests/measure/capacity/CapacityProbe.h
@@ -9,7 +9,7 @@
 
 namespace Greengage {
 
-/// Measures what each part of a daemon costs in a fleet of one size.
+/// Measures the processor time, memory and message size of each part of a daemon in a fleet of one size.
 class CapacityProbe {
 public:
     explicit CapacityProbe(const FleetSize&);
@@ -23,9 +23,9 @@
     void measureAllotments();
     void measureRequestPlane();
     void measureMaintenancePlane();
-    /// Answers a write of the allotments as a store would that nobody else writes to.
-    static void answerAllotments(RequestPlane&, Instant now, const std::vector<RequestOutput>&);
-    void add(const char* part, const char* unit, const char* driver, int driverAmount, double cost);
+    /// Confirms each write of the allotments, as a store without other writers does.
+    static void confirmAllotments(RequestPlane&, Instant now, const std::vector<RequestOutput>&);
+    void addReading(const char* part, const char* unit, const char* driver, int driverAmount, double cost);
 
     FleetSize size;
     SyntheticFleet fleet;
--- a/tests/measure/capacity/CostMeter.h
+++ b/tests/measure/capacity/CostMeter.h
@@ -5,11 +5,11 @@
 
 namespace Greengage {
 
-/// Measures this process's own processor time and heap.
+/// Measures the processor time and heap of this process.
 class CostMeter {
 public:
-    /// Processor time of one call of `work` in microseconds, the least of several rounds of `repeats` calls each, since
-    /// interference only adds.
+    /// Processor time of one call of `work` in microseconds. Returns the minimum over several rounds of `repeats`
+    /// calls, since interference from other processes only adds time.
     template <typename Work> static double microsecondsOf(int repeats, const Work& work)
     {
         constexpr int rounds = 5;
@@ -18,8 +18,8 @@
             double begin = processorMicroseconds();
             for (int repeat = 0; repeat < repeats; ++repeat)
                 work();
-            double each = (processorMicroseconds() - begin) / repeats;
-            least = round == 0 || each < least ? each : least;
+            double perCall = (processorMicroseconds() - begin) / repeats;
+            least = round == 0 || perCall < least ? perCall : least;
         }
         return least;
     }
--- a/tests/measure/capacity/FleetSize.h
+++ b/tests/measure/capacity/FleetSize.h
@@ -4,7 +4,7 @@
 
 namespace Greengage {
 
-/// How large a fleet is, as far as a daemon's control work depends on it.
+/// The numbers of a fleet that determine the cost of a daemon's control work.
 struct FleetSize {
     std::string label;
     int services = 0;
@@ -13,7 +13,7 @@
     int endpoints = 0;
     int workers = 0;
     int teams = 0;
-    /// Daemons that exchange states with one another.
+    /// Daemons that exchange peer states.
     int daemons = 0;
     int zones = 0;
 };
--- a/tests/measure/capacity/LinearFit.h
+++ b/tests/measure/capacity/LinearFit.h
@@ -4,7 +4,7 @@
 
 namespace Greengage {
 
-/// A straight line through measured points by least squares.
+/// A least-squares line through measured points.
 struct LinearFit {
     double slope = 0;
     double intercept = 0;
--- a/tests/measure/capacity/Reading.h
+++ b/tests/measure/capacity/Reading.h
@@ -4,11 +4,11 @@
 
 namespace Greengage {
 
-/// What one part of a daemon costs at one size.
+/// The cost of one part of a daemon at one fleet size.
 struct Reading {
     std::string part;
     std::string unit;
-    /// What the cost is expected to grow with, and how much of it there is at this size.
+    /// The quantity that the cost is expected to grow with, and its amount at this size.
     std::string driver;
     double driverAmount = 0;
     double cost = 0;
--- a/tests/measure/capacity/SyntheticFleet.cpp
+++ b/tests/measure/capacity/SyntheticFleet.cpp
@@ -9,12 +9,12 @@
 namespace {
 
 constexpr int vmsPerRack = 4;
-constexpr int changesKept = 32;
+constexpr int recordedChanges = 32;
 
 std::string endpointName(int index) { return fmt::format("vm-endpoint-{}", index); }
 std::string workerName(int index) { return fmt::format("vm-worker-{}", index); }
 
-/// A list of names over indented lines, as operators write long lists.
+/// A list of VM names on indented continuation lines, as operators write long lists.
 template <typename MakeName> std::string vmList(int first, int step, int end, const MakeName& makeName)
 {
     std::string text;
@@ -69,9 +69,9 @@
 DocumentRecord SyntheticFleet::documentRecord() const
 {
     DocumentRecord record;
-    record.revision = changesKept;
+    record.revision = recordedChanges;
     record.text = this->documentText();
-    for (int change = 0; change < changesKept; ++change) {
+    for (int change = 0; change < recordedChanges; ++change) {
         ChangeSummary summary;
         summary.revision = record.revision - static_cast<std::uint64_t>(change);
         summary.changeId = fmt::format("{:032x}", change);
@@ -125,8 +125,8 @@
     state.daemon = DaemonId(fmt::format("daemon-{}", index));
     state.incarnation = incarnation(index);
     state.zone = ZoneId(fmt::format("zone-{}", index % this->size.zones));
-    state.appliedRevision = changesKept;
-    state.knownRevision = changesKept;
+    state.appliedRevision = recordedChanges;
+    state.knownRevision = recordedChanges;
     state.confirmationAge = Milliseconds(300);
     for (int team = 0; team < this->size.teams; ++team) {
         QueueId queue(fmt::format("queue-{}", team % this->size.services));
--- a/tests/measure/capacity/SyntheticFleet.h
+++ b/tests/measure/capacity/SyntheticFleet.h
@@ -10,7 +10,7 @@
 
 namespace Greengage {
 
-/// Makes the inputs that a daemon gets in a fleet of a given size.
+/// Generates the inputs of a daemon in a fleet of a given size.
 class SyntheticFleet {
 public:
     explicit SyntheticFleet(FleetSize);
@@ -19,9 +19,9 @@
     std::string documentText() const;
     DocumentRecord documentRecord() const;
     std::vector<VmRecord> vms() const;
-    /// The platform's answer that lists the VMs.
+    /// The body of the platform's answer to a request for the VM list.
     std::string vmListJson() const;
-    /// What daemon `index` tells its peers while every team runs work on one queue.
+    /// The state that daemon `index` sends to its peers while every team runs work on one queue.
     PeerState peerState(int index) const;
     static IncarnationId incarnation(int index);
 
--- a/tests/measure/capacity/main.cpp
+++ b/tests/measure/capacity/main.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Today's site, parts of the size expected in two years, and that size.
+/// The size of today's site, the size expected in two years, and fractions of the latter.
 const std::vector<FleetSize> sizes {
     { "today", 5, 5, 50, 50, 6, 7, 4 },
     { "1/8", 13, 13, 60, 262, 25, 7, 4 },
@@ -24,12 +24,12 @@
 void printTable(const std::vector<std::vector<Reading>>& bySize)
 {
     std::string header = "| part | unit | grows with |";
-    std::string rule = "| --- | --- | --- |";
+    std::string separator = "| --- | --- | --- |";
     for (const auto& size : sizes) {
         header += " " + size.label + " |";
-        rule += " ---: |";
+        separator += " ---: |";
     }
-    fmt::print("{} slope | spread of fit |\n{} ---: | ---: |\n", header, rule);
+    fmt::print("{} slope | spread of fit |\n{} ---: | ---: |\n", header, separator);
     for (std::size_t part = 0; part < bySize.front().size(); ++part) {
         const auto& first = bySize.front()[part];
         std::string line = fmt::format("| {} | {} | {} |", first.part, first.unit, first.driver);
@@ -45,7 +45,7 @@
     }
 }
 
-/// Draws all costs of one unit against the size, as lines over the VMs and teams of each size.
+/// Draws one line for each cost in `unit`, over the number of VMs and teams of each size.
 void drawSlopes(const std::vector<std::vector<Reading>>& bySize, const std::string& unit, const std::string& path)
 {
     std::vector<double> positions;
@@ -69,7 +69,7 @@
 {
     CLI::App app("Cost of a daemon's parts at five sizes, as a Markdown table");
     std::string folder;
-    app.add_option("--plots", folder, "Folder to write capacity-bytes.svg and capacity-time.svg to");
+    app.add_option("--plots", folder, "Output folder for capacity-bytes.svg and capacity-time.svg");
     CLI11_PARSE(app, argumentCount, arguments);
     std::vector<std::vector<Reading>> bySize;
     for (const auto& size : sizes)
--- a/tests/measure/daemon/RestMeasurement.cpp
+++ b/tests/measure/daemon/IdleMeasurement.cpp
@@ -1,4 +1,4 @@
-#include <measure/daemon/RestMeasurement.h>
+#include <measure/daemon/IdleMeasurement.h>
 
 #include <tests/site/Site.h>
 
@@ -17,10 +17,10 @@
 constexpr double bytesInMegabyte = 1024 * 1024;
 constexpr double bytesInKilobyte = 1024;
 constexpr double percent = 100;
-/// Time for connections and first exchanges to settle before the window.
+/// Time for connections and first exchanges to complete before the measured window.
 constexpr Seconds settleTime { 2 };
 
-SitePlan makePlan(const RestSize& size)
+SitePlan makePlan(const IdleSize& size)
 {
     SitePlan plan;
     plan.zones = zones;
@@ -37,8 +37,8 @@
     return plan;
 }
 
-/// The sum of all series of one metric.
-double sumOf(const std::string& page, const std::string& metric)
+/// The sum over all series of one metric on a metrics page.
+double sumOfSeries(const std::string& page, const std::string& metric)
 {
     double sum = 0;
     std::istringstream lines(page);
@@ -60,31 +60,34 @@
         call.path = "/metrics";
         auto answer = site.tool().send(call);
         if (!answer.has_value())
-            throw std::runtime_error("no metrics page from " + daemon.name);
+            throw std::runtime_error("cannot read /metrics of daemon " + daemon.name);
         pages.push_back(answer.value().body);
     }
     return pages;
 }
 
-double growth(const std::vector<std::string>& before, const std::vector<std::string>& after, const std::string& metric)
+/// The mean increase of a metric per daemon.
+double meanIncrease(
+    const std::vector<std::string>& before, const std::vector<std::string>& after, const std::string& metric)
 {
     double sum = 0;
     for (std::size_t index = 0; index < before.size(); ++index)
-        sum += sumOf(after[index], metric) - sumOf(before[index], metric);
+        sum += sumOfSeries(after[index], metric) - sumOfSeries(before[index], metric);
     return sum / static_cast<double>(before.size());
 }
 
-double level(const std::vector<std::string>& pages, const std::string& metric)
+/// The mean value of a metric per daemon.
+double meanValue(const std::vector<std::string>& pages, const std::string& metric)
 {
     double sum = 0;
     for (const std::string& page : pages)
-        sum += sumOf(page, metric);
+        sum += sumOfSeries(page, metric);
     return sum / static_cast<double>(pages.size());
 }
 
 } // namespace
 
-RestCost measureAtRest(const RestSize& size, Seconds window)
+IdleCost measureIdleSite(const IdleSize& size, Seconds window)
 {
     Site site(makePlan(size));
     site.startPlatform();
@@ -92,17 +95,17 @@
     site.applyDocument();
     auto never = [] { return false; };
     site.tool().waitUntil(never, settleTime);
-    Instant beganAt = BootClock::now();
+    Instant windowBegin = BootClock::now();
     auto before = readPages(site);
     site.tool().waitUntil(never, window);
     auto after = readPages(site);
-    double seconds = std::chrono::duration<double>(BootClock::now() - beganAt).count();
-    RestCost cost;
-    cost.cpuPercent = growth(before, after, "process_cpu_seconds_total") / seconds * percent;
-    cost.residentMegabytes = level(after, "process_resident_memory_bytes") / bytesInMegabyte;
-    cost.privateMegabytes = level(after, "greengage_private_memory_bytes") / bytesInMegabyte;
-    cost.meshKilobytesPerSecond = growth(before, after, "greengage_mesh_bytes_total") / seconds / bytesInKilobyte;
-    cost.storeCallsPerSecond = growth(before, after, "greengage_store_calls_total") / seconds;
+    double seconds = std::chrono::duration<double>(BootClock::now() - windowBegin).count();
+    IdleCost cost;
+    cost.cpuPercent = meanIncrease(before, after, "process_cpu_seconds_total") / seconds * percent;
+    cost.residentMegabytes = meanValue(after, "process_resident_memory_bytes") / bytesInMegabyte;
+    cost.privateMegabytes = meanValue(after, "greengage_private_memory_bytes") / bytesInMegabyte;
+    cost.meshKilobytesPerSecond = meanIncrease(before, after, "greengage_mesh_bytes_total") / seconds / bytesInKilobyte;
+    cost.storeCallsPerSecond = meanIncrease(before, after, "greengage_store_calls_total") / seconds;
     site.stopDaemons(Site::waitLimit);
     return cost;
 }
--- a/tests/measure/daemon/RestSize.h
+++ b/tests/measure/daemon/IdleSize.h
@@ -2,8 +2,8 @@
 
 namespace Greengage {
 
-/// The size of a site whose daemons are measured at rest.
-struct RestSize {
+/// The size of a site whose idle daemons are measured.
+struct IdleSize {
     int daemons = 7;
     int endpoints = 50;
     int teams = 4;
--- a/tests/measure/policy/Chart.h
+++ b/tests/measure/policy/Chart.h
@@ -5,7 +5,7 @@
 
 namespace Greengage {
 
-/// One named row of values of a chart.
+/// One named series of values in a chart.
 struct Series {
     std::string name;
     std::vector<double> values;
--- a/tests/measure/policy/MeasurePolicy.cpp
+++ b/tests/measure/policy/MeasurePolicy.cpp
@@ -16,8 +16,8 @@
 
 namespace {
 
-/// A policy over all seeds of one site.
-struct Row {
+/// The runs of one policy over all seeds at one site.
+struct PolicyRow {
     PolicyVariant variant;
     std::vector<PolicyFigures> runs;
 
@@ -31,13 +31,13 @@
 
     double worst(double PolicyFigures::*field) const
     {
-        double most = 0;
+        double highest = 0;
         for (const auto& run : this->runs)
-            most = std::max(most, run.*field);
-        return most;
+            highest = std::max(highest, run.*field);
+        return highest;
     }
 
-    bool allDone() const
+    bool allWavesDone() const
     {
         return std::all_of(
             this->runs.begin(), this->runs.end(), [](const PolicyFigures& run) { return run.isWaveDone; });
@@ -55,7 +55,7 @@
 {
     std::vector<PolicyVariant> variants { { "workshop", PlacementProfile::workshop() },
         { "yard", PlacementProfile::yard() },
-        { "baseline", PlacementProfile::baseline(), WaveMode::Batches, WaveRunner::maxOut, 2 },
+        { "baseline", PlacementProfile::baseline(), WaveMode::Batches, WaveRunner::maxOutOfService, 2 },
         without("learnt sizes", &PlacementProfile::learnsSizes), without("borrowing", &PlacementProfile::borrows),
         without("urgent preemption", &PlacementProfile::preemptsForUrgent),
         without("share preemption", &PlacementProfile::preemptsForShares),
@@ -69,12 +69,12 @@
     return variants;
 }
 
-/// Runs every variant over every seed, a few at once; the figures do not depend on how many.
-std::vector<Row> measureSite(const SiteKind& kind, int seeds, int jobs, const std::string& only)
+/// Runs every variant with every seed, `jobs` runs in parallel. The figures do not depend on `jobs`.
+std::vector<PolicyRow> measureSite(const SiteKind& kind, int seeds, int jobs, const std::string& nameFilter)
 {
-    std::vector<Row> rows;
+    std::vector<PolicyRow> rows;
     for (const auto& variant : makeVariants()) {
-        if (variant.name.find(only) != std::string::npos)
+        if (variant.name.find(nameFilter) != std::string::npos)
             rows.push_back({ variant, {} });
     }
     for (auto& row : rows) {
@@ -93,7 +93,7 @@
     return rows;
 }
 
-void writeTable(std::ostream& out, const std::vector<Row>& rows)
+void writeTable(std::ostream& out, const std::vector<PolicyRow>& rows)
 {
     out << "| policy | buffer, worker-hours | roll-out, s | / bound | moves | from share, % | urgent start median, s | "
            "worst, s | urgent not started | in use, % | failed starts | checkpoints | batch done an hour |\n"
@@ -102,7 +102,7 @@
     for (const auto& row : rows) {
         const double rollOut = row.mean(&PolicyFigures::rollOutSeconds);
         out << "| " << row.variant.name << " | " << row.mean(&PolicyFigures::bufferHours) << " | "
-            << (row.allDone() ? "" : "over ") << rollOut << " | " << std::setprecision(2)
+            << (row.allWavesDone() ? "" : "over ") << rollOut << " | " << std::setprecision(2)
             << rollOut / row.mean(&PolicyFigures::rollOutBoundSeconds) << std::setprecision(1) << " | "
             << row.mean(&PolicyFigures::moves) << " | " << std::setprecision(2)
             << row.mean(&PolicyFigures::shareDistancePercent) << std::setprecision(1) << " | "
@@ -115,7 +115,7 @@
     }
 }
 
-void writeCharts(const std::string& folder, const SiteKind& kind, const std::vector<Row>& rows)
+void writeCharts(const std::string& folder, const SiteKind& kind, const std::vector<PolicyRow>& rows)
 {
     std::vector<std::string> labels;
     Series buffer { "buffer, worker-hours", {} };
@@ -127,13 +127,13 @@
         distance.values.push_back(row.mean(&PolicyFigures::shareDistancePercent));
         urgent.values.push_back(row.worst(&PolicyFigures::urgentWorstSeconds));
     }
-    const auto stem = folder + "/policy-" + kind.name;
-    writeBarChart(stem + "-buffer.svg", kind.name + ": buffer cost of one wave", labels, { buffer });
-    writeBarChart(stem + "-shares.svg", kind.name + ": distance from share", labels, { distance });
-    writeBarChart(stem + "-urgent.svg", kind.name + ": worst start of urgent work", labels, { urgent });
+    const auto pathPrefix = folder + "/policy-" + kind.name;
+    writeBarChart(pathPrefix + "-buffer.svg", kind.name + ": buffer cost of one wave", labels, { buffer });
+    writeBarChart(pathPrefix + "-shares.svg", kind.name + ": distance from share", labels, { distance });
+    writeBarChart(pathPrefix + "-urgent.svg", kind.name + ": worst start of urgent work", labels, { urgent });
 }
 
-/// Waves over the services' VMs, by how the next VM is chosen.
+/// Writes a table of waves over the services' VMs, one row for each way of choosing the next VM.
 void writeServiceWaves(std::ostream& out, const SiteKind& kind, int seeds)
 {
     const std::vector<std::pair<std::string, WaveMode>> modes { { "rounds left first", WaveMode::Ordered },
@@ -147,10 +147,10 @@
             const auto figures = runServiceWave(kind.zones, mode, static_cast<unsigned>(seed));
             sum.rollOutSeconds += figures.rollOutSeconds / seeds;
             sum.boundSeconds += figures.boundSeconds / seeds;
-            sum.outHours += figures.outHours / seeds;
+            sum.outOfServiceHours += figures.outOfServiceHours / seeds;
         }
         out << "| " << name << " | " << std::setprecision(0) << sum.rollOutSeconds << " | " << std::setprecision(2)
-            << sum.rollOutSeconds / sum.boundSeconds << " | " << sum.outHours << " |\n";
+            << sum.rollOutSeconds / sum.boundSeconds << " | " << sum.outOfServiceHours << " |\n";
     }
 }
 
@@ -161,11 +161,11 @@
     CLI::App app { "Measures the maintenance and placement policies at the sites' sizes" };
     int seeds = 10;
     int jobs = 3;
-    std::string only;
+    std::string nameFilter;
     std::string folder = "docs/measurements";
-    app.add_option("--seeds", seeds, "How many seeds, from 1")->check(CLI::Range(1, 1000));
-    app.add_option("--jobs", jobs, "How many runs at once")->check(CLI::Range(1, 64));
-    app.add_option("--only", only, "Only policies with this in their name");
+    app.add_option("--seeds", seeds, "Number of seeds, starting with 1")->check(CLI::Range(1, 1000));
+    app.add_option("--jobs", jobs, "Number of parallel runs")->check(CLI::Range(1, 64));
+    app.add_option("--only", nameFilter, "Run only policies whose name contains this text");
     app.add_option("--out", folder, "Folder for the table and the plots")->check(CLI::ExistingDirectory);
     CLI11_PARSE(app, argc, argv);
     const std::vector<SiteKind> kinds { { "brno", 4, 50, { 32, 128, 0 } }, { "riga", 3, 50, { 16, 64, 0 }, 6, 6.0 } };
@@ -174,7 +174,7 @@
          << ", virtual time, means over seeds; \"worst\" is over all seeds).\nThe scenario is in "
             "tests/measure/policy/PolicyScenario.h; what is counted is in tests/measure/policy/PolicyFigures.h.\n";
     for (const auto& kind : kinds) {
-        auto rows = measureSite(kind, seeds, jobs, only);
+        auto rows = measureSite(kind, seeds, jobs, nameFilter);
         std::ostringstream table;
         writeTable(table, rows);
         writeServiceWaves(table, kind, seeds);
--- a/tests/measure/policy/PolicyFigures.h
+++ b/tests/measure/policy/PolicyFigures.h
@@ -4,19 +4,20 @@
 
 namespace Greengage {
 
-/// What one run of one policy gave.
+/// The measured figures of one run of one policy.
 struct PolicyFigures {
     /// Worker-hours held idle or out of service from the start of the wave to its end.
     double bufferHours = 0;
     double rollOutSeconds = 0;
     double rollOutBoundSeconds = 0;
     double moves = 0;
-    /// Mean over the time in which more was wanted than there was, and over teams, in percent of what was in use.
+    /// Distance of a team from its entitled share, in percent of the resources in use: the mean over all teams and over
+    /// the time in which demand exceeded capacity.
     double shareDistancePercent = 0;
     double urgentMedianSeconds = 0;
     double urgentWorstSeconds = 0;
     double urgentNotStarted = 0;
-    /// Part of the workers' processors really in use, in percent.
+    /// Mean usage of the workers' resources, in percent: the sum of the teams' dominant shares.
     double utilisationPercent = 0;
     double failedStarts = 0;
     double checkpoints = 0;
--- a/tests/measure/policy/PolicyScenario.cpp
+++ b/tests/measure/policy/PolicyScenario.cpp
@@ -22,28 +22,28 @@
 
 std::string teamName(int team) { return "team-" + std::to_string(team); }
 
-/// Divides one whole among teams by weight, none getting more than it wants.
-std::map<TeamId, double> fillByWeight(const std::vector<Team>& teams, const std::map<TeamId, double>& wanted)
+/// Divides 1.0 among the teams in proportion to their shares; no team gets more than it wants.
+std::map<TeamId, double> divideByShare(const std::vector<Team>& teams, const std::map<TeamId, double>& wanted)
 {
-    std::map<TeamId, double> given;
-    double left = 1.0;
+    std::map<TeamId, double> divided;
+    double remaining = 1.0;
     auto open = teams;
-    while (!open.empty() && left > 1e-9) {
+    while (!open.empty() && remaining > 1e-9) {
         double weights = 0;
         for (const auto& team : open)
             weights += team.share;
-        auto isFilled = [&](const Team& team) { return wanted.at(team.name) <= left * team.share / weights; };
-        auto filled = std::find_if(open.begin(), open.end(), isFilled);
-        if (filled == open.end()) {
+        auto isSatisfied = [&](const Team& team) { return wanted.at(team.name) <= remaining * team.share / weights; };
+        auto satisfied = std::find_if(open.begin(), open.end(), isSatisfied);
+        if (satisfied == open.end()) {
             for (const auto& team : open)
-                given[team.name] = left * team.share / weights;
-            return given;
+                divided[team.name] = remaining * team.share / weights;
+            return divided;
         }
-        given[filled->name] = wanted.at(filled->name);
-        left -= wanted.at(filled->name);
-        open.erase(filled);
+        divided[satisfied->name] = wanted.at(satisfied->name);
+        remaining -= wanted.at(satisfied->name);
+        open.erase(satisfied);
     }
-    return given;
+    return divided;
 }
 
 } // namespace
@@ -56,8 +56,8 @@
 {
     this->setTeams();
     for (int index = 0; index < faultyWorkers; index++)
-        this->site.worker(static_cast<std::size_t>(this->pick(0, kind.workers - 1))).failsEverything = true;
-    for (int index = 0; index < variant.heldSpares; index++)
+        this->site.worker(static_cast<std::size_t>(this->drawInteger(0, kind.workers - 1))).failsEverything = true;
+    for (int index = 0; index < variant.idleSpares; index++)
         this->site.drain(static_cast<std::size_t>(index), true);
     this->site.checkInterval = 10;
 }
@@ -74,17 +74,17 @@
     this->site.setTeams(this->teams);
 }
 
-void PolicyScenario::submitOne(int team, Priority priority, int minSeconds, int maxSeconds)
+void PolicyScenario::submitJob(int team, Priority priority, int minSeconds, int maxSeconds)
 {
     Job job;
     job.id = JobId("job-" + std::to_string(this->nextJob++));
     job.team = TeamId(teamName(team));
     job.priority = priority;
-    job.idempotent = this->pick(0, 1) == 0;
-    job.canCheckpoint = priority == Priority::Batch || this->pick(0, 1) == 0;
-    job.kind = std::string(nameOf(priority)) + std::to_string(this->pick(0, 1));
+    job.idempotent = this->drawInteger(0, 1) == 0;
+    job.canCheckpoint = priority == Priority::Batch || this->drawInteger(0, 1) == 0;
+    job.kind = std::string(nameOf(priority)) + std::to_string(this->drawInteger(0, 1));
     Resources actual;
-    actual.processors = this->pick(1, this->kind.largestJob);
+    actual.processors = this->drawInteger(1, this->kind.largestJob);
     actual.memoryGigabytes = actual.processors * this->drawReal(1.5, 4.0);
     auto [found, isNew] = this->declaredFactors.try_emplace(job.team.string() + job.kind, 0);
     if (isNew)
@@ -92,28 +92,28 @@
     const double factor = found->second * this->drawReal(0.8, 1.25);
     job.declared = { std::min(actual.processors * factor, this->kind.capacity.processors),
         std::min(actual.memoryGigabytes * factor, this->kind.capacity.memoryGigabytes), 0 };
-    if (this->pick(0, 199) == 0)
+    if (this->drawInteger(0, 199) == 0)
         job.declared.accelerators = 1;
-    const int seconds = this->pick(minSeconds, maxSeconds);
+    const int seconds = this->drawInteger(minSeconds, maxSeconds);
     job.declaredRunTime = Seconds(std::max(1, static_cast<int>(seconds * this->drawReal(0.3, 3.0))));
     this->site.submit(job, actual, Seconds(seconds));
 }
 
-void PolicyScenario::submitSecond(int second)
+void PolicyScenario::submitJobsOfSecond(int second)
 {
-    const int bursting = second / burstSeconds % teamCount;
+    const int burstingTeam = second / burstSeconds % teamCount;
     for (int team = 0; team < teamCount; team++) {
         const double mean = this->kind.jobsPerSecond * teamShares[team] / 12.0;
-        const double rate = mean * (team == bursting ? burstFactor : quietFactor);
+        const double rate = mean * (team == burstingTeam ? burstFactor : quietFactor);
         for (int count = std::poisson_distribution<>(rate)(this->random); count > 0; count--)
-            this->submitOne(team, Priority::Normal, 5, 30);
+            this->submitJob(team, Priority::Normal, 5, 30);
     }
     if (second % urgentIntervalSeconds == 0)
-        this->submitOne(this->pick(0, 1), Priority::Urgent, 5, 20);
+        this->submitJob(this->drawInteger(0, 1), Priority::Urgent, 5, 20);
     for (int team = firstBatchTeam; team < teamCount; team++) {
         const auto open = this->site.openCount(TeamId(teamName(team)), Priority::Batch);
         for (auto count = open; count < batchBacklog; count++)
-            this->submitOne(team, Priority::Batch, 120, 400);
+            this->submitJob(team, Priority::Batch, 120, 400);
     }
 }
 
@@ -134,15 +134,15 @@
     this->utilisationCount++;
     if (wantedSum < 1.0 || usedSum <= 0)
         return;
-    // What is in use is divided, so that idle or broken workers count against nobody.
+    // Only resources in use are divided, so that idle or broken workers count against no team.
     for (auto& [team, part] : wanted)
         part /= usedSum;
-    const auto entitled = fillByWeight(this->teams, wanted);
+    const auto entitled = divideByShare(this->teams, wanted);
     double distance = 0;
     for (const auto& team : this->teams) {
         auto share = entitled.find(team.name);
-        const double due = share == entitled.end() ? 0 : share->second;
-        distance += std::abs(this->site.usageOf(team.name) / usedSum - due);
+        const double entitledShare = share == entitled.end() ? 0 : share->second;
+        distance += std::abs(this->site.usageOf(team.name) / usedSum - entitledShare);
     }
     this->distanceSum += distance / teamCount;
     this->distanceCount++;
@@ -150,12 +150,12 @@
 
 void PolicyScenario::sampleWave(WaveRunner& wave)
 {
-    const auto held = std::max(wave.outCount(), static_cast<std::size_t>(this->variant.heldSpares));
-    this->figures.bufferHours += static_cast<double>(held) / 3600.0;
+    const auto outOfUse = std::max(wave.outOfServiceCount(), static_cast<std::size_t>(this->variant.idleSpares));
+    this->figures.bufferHours += static_cast<double>(outOfUse) / 3600.0;
     this->figures.rollOutSeconds += 1;
 }
 
-void PolicyScenario::gatherUrgent()
+void PolicyScenario::collectJobFigures()
 {
     std::vector<double> waits;
     for (const auto& [id, job] : this->site.allJobs()) {
@@ -181,7 +181,7 @@
     WaveRunner wave(this->site, this->kind.zones, this->variant.wave, 1);
     this->figures.rollOutBoundSeconds = static_cast<double>(wave.lowerBound().count());
     for (int second = 0; second < lastSecond && !wave.isDone(); second++) {
-        this->submitSecond(second);
+        this->submitJobsOfSecond(second);
         this->site.run(Seconds(1));
         if (second >= waveStartSecond) {
             wave.tick();
@@ -195,7 +195,7 @@
     this->figures.utilisationPercent = 100.0 * this->utilisationSum / std::max(1, this->utilisationCount);
     this->figures.failedStarts = this->site.failedStartCount;
     this->figures.checkpoints = this->site.checkpointCount;
-    this->gatherUrgent();
+    this->collectJobFigures();
     return this->figures;
 }
 
--- a/tests/measure/policy/PolicyScenario.h
+++ b/tests/measure/policy/PolicyScenario.h
@@ -14,9 +14,10 @@
 
 namespace Greengage {
 
-/// A working day in small: six workspaces whose queues burst in turn to five times their mean, two of which have a
-/// backlog of long batch work, urgent work now and then, declared sizes far off, jobs that never run, workers that fail
-/// everything, and one maintenance wave over all workers.
+/// Simulates a scaled-down working day. The queues of six workspaces, one team each, burst in turn to five times their
+/// mean load; two of them have a backlog of long batch jobs, and urgent jobs arrive now and then. Declared sizes are
+/// far from the actual ones, some jobs can never run, some workers fail every task, and one maintenance wave covers all
+/// workers.
 class PolicyScenario {
 public:
     PolicyScenario(const SiteKind&, const PolicyVariant&, unsigned seed);
@@ -25,12 +26,12 @@
 
 private:
     void setTeams();
-    void submitSecond(int second);
-    void submitOne(int team, Priority, int minSeconds, int maxSeconds);
+    void submitJobsOfSecond(int second);
+    void submitJob(int team, Priority, int minSeconds, int maxSeconds);
     void sampleShares();
     void sampleWave(WaveRunner&);
-    void gatherUrgent();
-    int pick(int low, int high) { return std::uniform_int_distribution<>(low, high)(this->random); }
+    void collectJobFigures();
+    int drawInteger(int low, int high) { return std::uniform_int_distribution<>(low, high)(this->random); }
     double drawReal(double low, double high) { return std::uniform_real_distribution<>(low, high)(this->random); }
 
     SiteKind kind;
@@ -38,7 +39,7 @@
     std::mt19937 random;
     FakeSite site;
     std::vector<Team> teams;
-    /// How far the declarations of each kind of job are off.
+    /// Declared size divided by actual size, by team and kind of job.
     std::map<std::string, double> declaredFactors;
     int nextJob = 0;
     double distanceSum = 0;
--- a/tests/measure/policy/PolicyVariant.h
+++ b/tests/measure/policy/PolicyVariant.h
@@ -8,14 +8,14 @@
 
 namespace Greengage {
 
-/// One policy to measure.
+/// A named policy to measure.
 struct PolicyVariant {
     std::string name;
     PlacementProfile profile;
     WaveMode wave = WaveMode::Ordered;
-    /// Workers held idle as the wave's buffer.
-    int heldSpares = 0;
-    /// Moves between pools for each VM maintained.
+    /// Workers that are kept idle as a buffer for the wave.
+    int idleSpares = 0;
+    /// Moves between pools for each VM under maintenance.
     int movesPerVm = 0;
 };
 
--- a/tests/measure/policy/ServiceWave.cpp
+++ b/tests/measure/policy/ServiceWave.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr int services = 5;
-constexpr int smallestService = 8;
+constexpr int smallestServiceVms = 8;
 constexpr int shortestSeconds = 90;
 constexpr int longestSeconds = 150;
 constexpr Seconds meanSeconds((shortestSeconds + longestSeconds) / 2);
@@ -25,7 +25,7 @@
     Pool pool;
     pool.name = PoolId(service.name.string());
     pool.service = service.name;
-    const int count = smallestService + number;
+    const int count = smallestServiceVms + number;
     for (int index = 0; index < count; index++) {
         VmRecord record;
         record.id = VmId(service.name.string() + "-" + std::to_string(100 + index));
@@ -46,26 +46,26 @@
         addService(chooser, number, zones);
     chooser.begin(2 * services);
     std::mt19937 random(seed);
-    std::uniform_int_distribution<> span(shortestSeconds, longestSeconds);
-    std::map<VmId, Seconds> spans;
+    std::uniform_int_distribution<> outageSeconds(shortestSeconds, longestSeconds);
+    std::map<VmId, Seconds> outages;
     for (const auto& record : chooser.vms())
-        spans[record.id] = Seconds(span(random));
+        outages[record.id] = Seconds(outageSeconds(random));
     ServiceWaveFigures figures;
     const auto plan = planWave(chooser.sharedPlan(), chooser.vms(), chooser.plan().waves[0], meanSeconds);
     figures.boundSeconds = static_cast<double>(plan.lowerBound.count());
-    std::multimap<Instant, VmId> returns;
+    std::multimap<Instant, VmId> returnTimes;
     Instant now { Seconds(1) };
     while (!chooser.isDone()) {
         for (const auto& vm : chooser.choose(now))
-            returns.emplace(now + spans.at(vm), vm);
-        const auto next = returns.begin()->first;
+            returnTimes.emplace(now + outages.at(vm), vm);
+        const auto next = returnTimes.begin()->first;
         const auto passed = std::chrono::duration<double>(next - now).count();
-        figures.outHours += passed * static_cast<double>(chooser.ledger().vms.size()) / 3600.0;
+        figures.outOfServiceHours += passed * static_cast<double>(chooser.ledger().vms.size()) / 3600.0;
         figures.rollOutSeconds += passed;
         now = next;
-        while (!returns.empty() && returns.begin()->first <= now) {
-            chooser.ledger().erase(returns.begin()->second);
-            returns.erase(returns.begin());
+        while (!returnTimes.empty() && returnTimes.begin()->first <= now) {
+            chooser.ledger().erase(returnTimes.begin()->second);
+            returnTimes.erase(returnTimes.begin());
         }
     }
     return figures;
--- a/tests/measure/policy/ServiceWave.h
+++ b/tests/measure/policy/ServiceWave.h
@@ -4,16 +4,16 @@
 
 namespace Greengage {
 
-/// What one wave over the five services' VMs gave.
+/// The measured figures of one wave over the VMs of five services.
 struct ServiceWaveFigures {
     double rollOutSeconds = 0;
-    /// Least time that the budgets allow at the mean time for a VM.
+    /// Shortest roll-out that the budgets allow if every VM takes the mean time.
     double boundSeconds = 0;
-    double outHours = 0;
+    double outOfServiceHours = 0;
 };
 
-/// Reboots every VM of five services of 8 to 12 VMs once, two at a time in each service and one in each zone. How long
-/// each VM drains and reboots is drawn from the seed.
+/// Simulates a wave that reboots every VM of five services of 8 to 12 VMs once, at most two at a time in each service
+/// and one in each availability zone. The time that each VM takes to drain and reboot is drawn at random from the seed.
 ServiceWaveFigures runServiceWave(int zones, WaveMode, unsigned seed);
 
 } // namespace Greengage
--- a/tests/measure/policy/SiteKind.h
+++ b/tests/measure/policy/SiteKind.h
@@ -6,15 +6,15 @@
 
 namespace Greengage {
 
-/// The size of one of the sites.
+/// The size and load of one of the sites.
 struct SiteKind {
     std::string name;
     int zones = 4;
     int workers = 50;
     Resources capacity;
-    /// Most processors that a job really needs.
+    /// Largest number of processors that a job actually uses.
     int largestJob = 8;
-    /// Mean of jobs a second over all queues; their work fills a little under half of the workers.
+    /// Mean number of jobs per second over all queues; their work uses a little under half of the workers.
     double jobsPerSecond = 9.0;
 };
 
--- a/tests/measure/policy/WaveChooser.cpp
+++ b/tests/measure/policy/WaveChooser.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-void takeInOrder(const FleetView& view, MaintenanceLedger& ledger, std::size_t maxConcurrent, Instant now)
+void drainInDocumentOrder(const FleetView& view, MaintenanceLedger& ledger, std::size_t maxConcurrent, Instant now)
 {
     OutageTable outages(now, view, ledger);
     auto& progress = ledger.waves[0];
@@ -68,7 +68,7 @@
     const bool isBetweenBatches = this->waveMode == WaveMode::Batches && !this->waveLedger.vms.empty();
     if (this->waveLedger.waves[0].remaining.empty() || isBetweenBatches)
         return {};
-    const auto before = this->waveLedger.outOfService();
+    const auto outBefore = this->waveLedger.outOfService();
     FleetView view;
     view.apply(now, DocumentApplied { this->document });
     view.apply(now, EndpointsListed { this->records, {}, 0 });
@@ -80,10 +80,10 @@
     if (this->waveMode == WaveMode::Ordered)
         startDrains(context);
     else
-        takeInOrder(view, this->waveLedger, maxConcurrent, now);
+        drainInDocumentOrder(view, this->waveLedger, maxConcurrent, now);
     std::vector<VmId> chosen;
     for (const auto& entry : this->waveLedger.vms) {
-        if (before.count(entry.vm) == 0)
+        if (outBefore.count(entry.vm) == 0)
             chosen.push_back(entry.vm);
     }
     return chosen;
--- a/tests/measure/policy/WaveChooser.h
+++ b/tests/measure/policy/WaveChooser.h
@@ -12,18 +12,18 @@
 
 namespace Greengage {
 
-/// Chooses the VMs that a measured wave takes next: with the product's own drain system, or in a plainer way under the
-/// same budgets.
+/// Chooses the VMs that a measured wave drains next: with the product's drain system, or with a simpler baseline under
+/// the same budgets.
 class WaveChooser {
 public:
     explicit WaveChooser(WaveMode mode);
 
     void addRecord(const VmRecord& record) { this->records.push_back(record); }
     void addPool(const Service&, const Pool&);
-    /// Begins a wave over all pools.
+    /// Starts a wave over all pools.
     void begin(int maxConcurrent);
 
-    /// Takes further VMs into the ledger and returns them.
+    /// Adds the VMs to drain next to the ledger and returns them.
     std::vector<VmId> choose(Instant now);
 
     WaveMode mode() const { return this->waveMode; }
--- a/tests/measure/policy/WaveMode.h
+++ b/tests/measure/policy/WaveMode.h
@@ -2,14 +2,14 @@
 
 namespace Greengage {
 
-/// How a measured wave chooses what to take next.
+/// How a measured wave chooses the VMs to drain next.
 enum class WaveMode {
-    /// The policy: as many at once as budgets let, those with most rounds left first.
+    /// The product's policy: as many at once as the budgets allow, those with the most remaining rounds first.
     Ordered,
-    /// As many at once as budgets let, in the order of the document.
+    /// As many at once as the budgets allow, in the order of the document.
     FixedOrder,
-    /// In the order of the document, the next batch only when all of the last has returned; the last
-    /// batch stands in for it. The first batch are the spares.
+    /// In the order of the document; the next batch starts when the whole previous batch has returned. The returned
+    /// batch is kept idle as spares for the next one.
     Batches,
 };
 
--- a/tests/measure/policy/WaveRunner.cpp
+++ b/tests/measure/policy/WaveRunner.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-constexpr int maxOutPerZone = 4;
-constexpr int maxOutPerRack = 2;
+constexpr int maxOutOfServicePerZone = 4;
+constexpr int maxOutOfServicePerRack = 2;
 constexpr int rebootSpreadSeconds = 30;
-constexpr Milliseconds meanCheckpoint(1250);
+constexpr Milliseconds meanCheckpointTime(1250);
 
 } // namespace
 
@@ -20,9 +20,9 @@
 {
     Service service;
     service.name = ServiceId("workers");
-    service.maxUnavailable = maxOut;
-    service.maxUnavailablePerZone = maxOutPerZone;
-    service.maxUnavailablePerRack = maxOutPerRack;
+    service.maxUnavailable = maxOutOfService;
+    service.maxUnavailablePerZone = maxOutOfServicePerZone;
+    service.maxUnavailablePerRack = maxOutOfServicePerRack;
     Pool pool;
     pool.name = PoolId("workers");
     pool.service = service.name;
@@ -37,24 +37,24 @@
         pool.vms.push_back(record.id);
     }
     this->chooser.addPool(service, pool);
-    this->chooser.begin(maxOut);
+    this->chooser.begin(maxOutOfService);
 }
 
 bool WaveRunner::isDone() const { return this->chooser.isDone(); }
 
 Seconds WaveRunner::lowerBound() const
 {
-    const auto rounds = (static_cast<int>(this->site.workerCount()) + maxOut - 1) / maxOut;
-    return std::chrono::duration_cast<Seconds>((meanReboot + meanCheckpoint) * rounds);
+    const auto rounds = (static_cast<int>(this->site.workerCount()) + maxOutOfService - 1) / maxOutOfService;
+    return std::chrono::duration_cast<Seconds>((meanRebootTime + meanCheckpointTime) * rounds);
 }
 
 void WaveRunner::tick()
 {
-    this->advance();
-    this->start();
+    this->advanceMaintenance();
+    this->startDrains();
 }
 
-void WaveRunner::start()
+void WaveRunner::startDrains()
 {
     const auto chosen = this->chooser.choose(this->site.instant());
     if (chosen.empty())
@@ -66,7 +66,7 @@
         this->site.drain(this->indexes.at(vm), true);
 }
 
-void WaveRunner::advance()
+void WaveRunner::advanceMaintenance()
 {
     const auto now = this->site.instant();
     std::vector<VmId> returned;
@@ -74,9 +74,9 @@
         const auto index = this->indexes.at(entry.vm);
         if (entry.phase == MaintenancePhase::Draining && this->site.taskCountOn(index) == 0) {
             entry.phase = MaintenancePhase::Rebooting;
-            std::uniform_int_distribution<> spread(-rebootSpreadSeconds, rebootSpreadSeconds);
-            this->rebootedAt[entry.vm] = now + meanReboot + Seconds(spread(this->random));
-        } else if (entry.phase == MaintenancePhase::Rebooting && now >= this->rebootedAt.at(entry.vm)) {
+            std::uniform_int_distribution<> deviation(-rebootSpreadSeconds, rebootSpreadSeconds);
+            this->rebootDoneAt[entry.vm] = now + meanRebootTime + Seconds(deviation(this->random));
+        } else if (entry.phase == MaintenancePhase::Rebooting && now >= this->rebootDoneAt.at(entry.vm)) {
             returned.push_back(entry.vm);
         }
     }
--- a/tests/measure/policy/WaveRunner.h
+++ b/tests/measure/policy/WaveRunner.h
@@ -11,33 +11,33 @@
 
 namespace Greengage {
 
-/// Maintains every worker of a site once under a budget, with the product's own choice of what to drain next, while the
-/// site goes on working. The platform's reboots are drawn at random.
+/// Runs a maintenance wave over all workers of a simulated site under load. A WaveChooser decides which workers to
+/// drain next, and reboot times are drawn at random.
 class WaveRunner {
 public:
-    static constexpr int maxOut = 8;
-    static constexpr Seconds meanReboot { 120 };
+    static constexpr int maxOutOfService = 8;
+    static constexpr Seconds meanRebootTime { 120 };
 
     WaveRunner(FakeSite&, int zones, WaveMode, unsigned seed);
 
-    /// Does what is due; call it once a virtual second.
+    /// Finishes drains and reboots that are complete and starts new drains. Call it once per second of virtual time.
     void tick();
     bool isDone() const;
-    /// Workers out of service now.
-    std::size_t outCount() { return this->chooser.ledger().vms.size(); }
-    /// Least time that budgets and drain times allow.
+    /// Number of workers that are out of service now.
+    std::size_t outOfServiceCount() { return this->chooser.ledger().vms.size(); }
+    /// Shortest roll-out that the budgets and the mean drain and reboot times allow.
     Seconds lowerBound() const;
 
 private:
-    void start();
-    void advance();
+    void startDrains();
+    void advanceMaintenance();
 
     FakeSite& site;
     std::mt19937 random;
     WaveChooser chooser;
     std::map<VmId, std::size_t> indexes;
-    std::map<VmId, Instant> rebootedAt;
-    /// With batches, the last batch, which is held as the spares of the next.
+    std::map<VmId, Instant> rebootDoneAt;
+    /// In WaveMode::Batches, the previous batch, which is kept idle as spares for the next one.
     std::vector<VmId> spares;
 };
 
--- a/tests/measure/requests/BurstMeasurement.cpp
+++ b/tests/measure/requests/BurstMeasurement.cpp
@@ -8,11 +8,11 @@
 
 constexpr int seeds = 10;
 
-BurstResult meanOf(const RequestPolicy& policy, bool burst)
+BurstResult meanOverSeeds(const RequestPolicy& policy, bool isBursting)
 {
     BurstResult mean;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-        auto result = runBurst(policy, burst, seed);
+        auto result = runBurst(policy, isBursting, seed);
         mean.othersAnsweredPercent += result.othersAnsweredPercent / seeds;
         mean.othersP99Milliseconds += result.othersP99Milliseconds / seeds;
         mean.burstAnsweredPercent += result.burstAnsweredPercent / seeds;
@@ -33,10 +33,10 @@
     std::puts("| --- | --- | --- | --- | --- | --- | --- | --- |");
     for (auto order : { ServingOrder::FairShares, ServingOrder::FirstCome }) {
         for (auto slots : { SlotUse::Divided, SlotUse::Undivided }) {
-            for (bool burst : { false, true }) {
-                auto mean = meanOf(RequestPolicy { order, slots, LimitSplit::Escrow }, burst);
+            for (bool isBursting : { false, true }) {
+                auto mean = meanOverSeeds(RequestPolicy { order, slots, LimitSplit::Escrow }, isBursting);
                 std::printf("| %s | %s | %s | %.2f | %.0f | %.1f | %.0f | %.3f |\n", nameOf(order).data(),
-                    nameOf(slots).data(), burst ? "burst" : "calm", mean.othersAnsweredPercent,
+                    nameOf(slots).data(), isBursting ? "burst" : "calm", mean.othersAnsweredPercent,
                     mean.othersP99Milliseconds, mean.burstAnsweredPercent, mean.refusals, mean.sendsPerRequest);
             }
         }
--- a/tests/measure/requests/FreshnessMeasurement.cpp
+++ b/tests/measure/requests/FreshnessMeasurement.cpp
@@ -14,8 +14,9 @@
 
 using Disturbance = std::function<void(SimulatedFleet&)>;
 
-/// Withdraws a key 2 s after a disturbance and gives how long, in seconds, work under it was still begun.
-double lastBegun(const Disturbance& disturb, std::uint64_t seed)
+/// Withdraws a key 2 s after a disturbance and returns how many seconds after the withdrawal work under the key was
+/// last started.
+double lastStartSeconds(const Disturbance& disturb, std::uint64_t seed)
 {
     FleetOptions options;
     options.seed = seed;
@@ -31,21 +32,21 @@
         if (work.team.string() == "t0" && now > withdrawnAt)
             last = std::max(last, std::chrono::duration<double>(now - withdrawnAt).count());
     };
-    auto load = [&](int steps) {
+    auto submitSteps = [&](int steps) {
         for (int step = 0; step < steps; ++step) {
             for (std::size_t daemon = 0; daemon < fleet.daemons.size(); ++daemon)
                 fleet.submit(daemon, "q0", "k0", Seconds(20), Milliseconds(50));
             fleet.run(Milliseconds(20));
         }
     };
-    load(250);
+    submitSteps(250);
     disturb(fleet);
-    load(100);
+    submitSteps(100);
     withdrawnAt = fleet.clock.current();
     auto document = makeSampleDocument(2, 2, 60, endpointCount);
     document->keys.erase(document->keys.begin());
     fleet.accept(document);
-    load(1000);
+    submitSteps(1000);
     return last;
 }
 
@@ -53,37 +54,38 @@
 {
     double worst = 0;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed)
-        worst = std::max(worst, lastBegun(disturb, seed));
+        worst = std::max(worst, lastStartSeconds(disturb, seed));
     std::printf("| %s | %.2f |\n", name, worst);
 }
 
-/// Part of the requests at the daemons of a cut-off zone that are answered, in percent, from 5 s after the cut.
-double answeredInCutZone(bool open, bool storeDown)
+/// Percentage of requests at a daemon that are answered from 5 s after its availability zone is cut off, or after the
+/// store goes down for all daemons.
+double answeredPercentDuringOutage(bool isOpen, bool isStoreDown)
 {
     FleetOptions options;
     options.endpointsPerService = endpointCount;
     SimulatedFleet fleet(options);
     auto document = makeSampleDocument(1, 2, 60, endpointCount);
-    if (open)
+    if (isOpen)
         document->queues[0].access = QueueAccess::Open;
     fleet.accept(document);
     for (std::size_t daemon = 0; daemon < fleet.daemons.size(); ++daemon)
         fleet.start(daemon);
     fleet.run(Seconds(8));
-    fleet.store.down = storeDown;
-    if (!storeDown)
+    fleet.store.down = isStoreDown;
+    if (!isStoreDown)
         fleet.cutZone("z1", true);
     fleet.run(Seconds(5));
-    auto first = fleet.records.size();
+    auto firstMeasured = fleet.records.size();
     for (int step = 0; step < 1000; ++step) {
-        fleet.submit(0, "q0", open ? "" : "k0", Seconds(2), Milliseconds(50));
+        fleet.submit(0, "q0", isOpen ? "" : "k0", Seconds(2), Milliseconds(50));
         fleet.run(Milliseconds(20));
     }
     fleet.run(Seconds(3));
     double answered = 0;
-    for (auto index = first; index < fleet.records.size(); ++index)
+    for (auto index = firstMeasured; index < fleet.records.size(); ++index)
         answered += fleet.records[index].outcome == Outcome::Answered ? 1 : 0;
-    return 100.0 * answered / static_cast<double>(fleet.records.size() - first);
+    return 100.0 * answered / static_cast<double>(fleet.records.size() - firstMeasured);
 }
 
 } // namespace
@@ -107,9 +109,10 @@
     });
     std::puts("\n| what is served | answered % |");
     std::puts("| --- | --- |");
-    std::printf("| keyed queue, zone cut off | %.1f |\n", answeredInCutZone(false, false));
-    std::printf("| open queue, zone cut off | %.1f |\n", answeredInCutZone(true, false));
-    std::printf("| keyed queue, store out for all, daemons in contact | %.1f |\n", answeredInCutZone(false, true));
+    std::printf("| keyed queue, zone cut off | %.1f |\n", answeredPercentDuringOutage(false, false));
+    std::printf("| open queue, zone cut off | %.1f |\n", answeredPercentDuringOutage(true, false));
+    std::printf(
+        "| keyed queue, store out for all, daemons in contact | %.1f |\n", answeredPercentDuringOutage(false, true));
 }
 
 } // namespace Greengage
--- a/tests/measure/requests/LimitMeasurement.cpp
+++ b/tests/measure/requests/LimitMeasurement.cpp
@@ -7,35 +7,37 @@
 namespace {
 
 constexpr int seeds = 10;
+
+/// Percentage of a team's limit in use in each phase, and the rate of writes to the store.
 struct LimitRow {
-    double one = 0;
-    double all = 0;
-    double afterDeath = 0;
-    double reclaimed = 0;
-    double afterIdleDeath = 0;
-    double calls = 0;
+    double oneDaemon = 0;
+    double allDaemons = 0;
+    double afterKill = 0;
+    double afterReclaim = 0;
+    double afterIdleKill = 0;
+    double writesPerSecond = 0;
 };
 
 LimitRow measure(LimitSplit split, int limit)
 {
     LimitRow row;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-        LimitRun one(split, limit, seed);
-        one.usedPercent(1, 2);
-        row.one += one.usedPercent(1, 10) / seeds;
-        LimitRun all(split, limit, seed);
-        all.usedPercent(7, 2);
-        int calls = all.fleet.store.calls;
-        row.all += all.usedPercent(7, 10) / seeds;
-        row.calls += (all.fleet.store.calls - calls) / 10.0 / seeds;
-        all.fleet.kill(6);
-        all.usedPercent(7, 1);
-        row.afterDeath += all.usedPercent(7, 10) / seeds;
-        all.usedPercent(7, 11);
-        row.reclaimed += all.usedPercent(7, 5) / seeds;
-        one.fleet.kill(6);
-        one.usedPercent(1, 1);
-        row.afterIdleDeath += one.usedPercent(1, 10) / seeds;
+        LimitRun oneDaemon(split, limit, seed);
+        oneDaemon.usedPercent(1, 2);
+        row.oneDaemon += oneDaemon.usedPercent(1, 10) / seeds;
+        LimitRun allDaemons(split, limit, seed);
+        allDaemons.usedPercent(7, 2);
+        int callsBefore = allDaemons.fleet.store.calls;
+        row.allDaemons += allDaemons.usedPercent(7, 10) / seeds;
+        row.writesPerSecond += (allDaemons.fleet.store.calls - callsBefore) / 10.0 / seeds;
+        allDaemons.fleet.kill(6);
+        allDaemons.usedPercent(7, 1);
+        row.afterKill += allDaemons.usedPercent(7, 10) / seeds;
+        allDaemons.usedPercent(7, 11);
+        row.afterReclaim += allDaemons.usedPercent(7, 5) / seeds;
+        oneDaemon.fleet.kill(6);
+        oneDaemon.usedPercent(1, 1);
+        row.afterIdleKill += oneDaemon.usedPercent(1, 10) / seeds;
     }
     return row;
 }
@@ -51,8 +53,8 @@
     for (auto split : { LimitSplit::Escrow, LimitSplit::EqualParts }) {
         for (int limit : { 10, 30, 100 }) {
             auto row = measure(split, limit);
-            std::printf("| %s | %d | %.1f | %.1f | %.1f | %.1f | %.1f | %.1f |\n", nameOf(split).data(), limit, row.one,
-                row.all, row.afterDeath, row.reclaimed, row.afterIdleDeath, row.calls);
+            std::printf("| %s | %d | %.1f | %.1f | %.1f | %.1f | %.1f | %.1f |\n", nameOf(split).data(), limit,
+                row.oneDaemon, row.allDaemons, row.afterKill, row.afterReclaim, row.afterIdleKill, row.writesPerSecond);
         }
     }
 }
--- a/tests/measure/requests/Measurements.h
+++ b/tests/measure/requests/Measurements.h
@@ -2,15 +2,16 @@
 
 namespace Greengage {
 
-/// How much of a team's limit is in use under a load above it: escrow beside equal fixed parts.
+/// Measures how much of a team's limit is in use under load above the limit: escrow compared with equal fixed parts.
 void measureLimits();
-/// What bursts of one team do to the others: shares and divided slots beside order of arrival and undivided slots.
+/// Measures the effect of one team's burst on other teams: fair shares and divided slots compared with order of arrival
+/// and undivided slots.
 void measureBursts();
-/// How many orders are begun twice, and how many never, under faults: claims beside none.
+/// Measures how many orders start more than once, and how many never, under faults: with claims and without.
 void measureOrders();
-/// Sends for each request while the endpoints are overloaded.
+/// Measures the number of sends per request while endpoints are overloaded or failing.
 void measureRetries();
-/// How long a withdrawn key goes on working, and what a cut-off availability zone still serves.
+/// Measures how long a withdrawn key stays usable, and what a cut-off availability zone still serves.
 void measureFreshness();
 
 } // namespace Greengage
--- a/tests/measure/requests/RetryMeasurement.cpp
+++ b/tests/measure/requests/RetryMeasurement.cpp
@@ -9,8 +9,9 @@
 
 constexpr int endpointCount = 10;
 
-/// Offers a load for 30 s to a pool of which some endpoints are silent or break connections.
-void runOnce(const char* name, double loadPart, int silentEndpoints, double brokenAttempts)
+/// Offers load for 30 s to a pool in which some endpoints are unresponsive or break connections, and
+/// prints a table row.
+void runOnce(const char* name, double loadFraction, int unresponsiveEndpoints, double brokenAttempts)
 {
     FleetOptions options;
     options.endpointsPerService = endpointCount;
@@ -20,31 +21,31 @@
     for (std::size_t daemon = 0; daemon < fleet.daemons.size(); ++daemon)
         fleet.start(daemon);
     fleet.run(Seconds(8));
-    for (int index = 0; index < silentEndpoints; ++index)
+    for (int index = 0; index < unresponsiveEndpoints; ++index)
         fleet.endpoints[static_cast<std::size_t>(index)].silent = true;
-    double rate = loadPart * endpointCount * 8 / 0.2;
-    double credit = 0;
+    double rate = loadFraction * endpointCount * 8 / 0.2;
+    double dueRequests = 0;
     for (int step = 0; step < 3000; ++step) {
-        for (credit += rate / 100; credit >= 1; credit -= 1) {
+        for (dueRequests += rate / 100; dueRequests >= 1; dueRequests -= 1) {
             auto daemon = static_cast<std::size_t>(fleet.pick(options.daemons));
             fleet.submit(daemon, "q0", "k0", Seconds(2), Milliseconds(100 + fleet.pick(200)));
         }
         fleet.run(Milliseconds(10));
     }
     fleet.run(Seconds(4));
-    double sent = 0;
+    double requestsSent = 0;
     double sends = 0;
     double answered = 0;
     double unknown = 0;
     for (const auto& record : fleet.records) {
-        sent += record.sends > 0 ? 1 : 0;
+        requestsSent += record.sends > 0 ? 1 : 0;
         sends += record.sends;
         answered += record.ended && record.outcome == Outcome::Answered ? 1 : 0;
         unknown += record.ended && record.outcome == Outcome::Unknown ? 1 : 0;
     }
     auto requests = static_cast<double>(fleet.records.size());
-    std::printf(
-        "| %s | %.3f | %.1f | %.1f |\n", name, sends / sent, 100 * answered / requests, 100 * unknown / requests);
+    std::printf("| %s | %.3f | %.1f | %.1f |\n", name, sends / requestsSent, 100 * answered / requests,
+        100 * unknown / requests);
 }
 
 } // namespace
--- a/tests/measure/scale/MeasureScale.cpp
+++ b/tests/measure/scale/MeasureScale.cpp
@@ -20,14 +20,14 @@
 
 namespace {
 
-/// One size of the fleet.
+/// The size of a fleet.
 struct Size {
     int workers = 0;
     int pools = 0;
     int teams = 0;
 };
 
-/// What a tick costs at one size.
+/// The cost of one tick at one size.
 struct Cost {
     double placementTickMilliseconds = 0;
     double placementMegabytes = 0;
@@ -37,9 +37,9 @@
 };
 
 constexpr int ticks = 40;
-/// The first ticks fill the fleet and are not measured.
+/// The other ticks come first and fill the fleet; they are not measured.
 constexpr int measuredTicks = 20;
-constexpr int urgentEvery = 50;
+constexpr int urgentJobInterval = 50;
 constexpr double tasksPerWorker = 6;
 
 double processorMilliseconds()
@@ -88,17 +88,17 @@
     job.id = JobId("job-" + std::to_string(number));
     job.team = TeamId("team-" + std::to_string(number % size.teams));
     job.kind = "kind-" + std::to_string(number % 3);
-    job.priority = number % urgentEvery == 0 ? Priority::Urgent : static_cast<Priority>(1 + number % 2);
+    job.priority = number % urgentJobInterval == 0 ? Priority::Urgent : static_cast<Priority>(1 + number % 2);
     job.idempotent = true;
     job.declared = { 1.0 + number % 8, 2.0 + number % 24, 0 };
     return job;
 }
 
-/// Of the running tasks one in so many ends in a tick: the rate of the sites today, scaled.
-constexpr std::size_t tasksPerEnd = 130;
+/// In each tick one in this many running tasks completes; scaled from the completion rate of today's sites.
+constexpr std::size_t tasksPerCompletion = 130;
 
-/// Mean processor time of a tick of a full fleet: in each tick some tasks end, a tenth of them report, and as
-/// many jobs arrive as ended.
+/// Measures the mean processor time of a placement tick of a full fleet. In each tick some tasks complete, a tenth of
+/// the others report, and as many jobs arrive as tasks completed.
 void measurePlacement(const Size& size, const PlacementProfile& profile, Cost& cost)
 {
     const double before = heapMegabytes();
@@ -113,17 +113,17 @@
         listed.workers.push_back(record);
     }
     std::vector<PlacementInput> inputs { DocumentApplied { makeDocument(size) }, listed };
-    int next = 0;
-    for (; next < size.workers * tasksPerWorker * 1.5; next++)
-        inputs.emplace_back(JobSubmitted { makeJob(next, size) });
+    int nextJob = 0;
+    for (; nextJob < size.workers * tasksPerWorker * 1.5; nextJob++)
+        inputs.emplace_back(JobSubmitted { makeJob(nextJob, size) });
     std::vector<std::uint64_t> running;
-    double spent = 0;
+    double processorTime = 0;
     for (int tick = 0; tick < ticks; tick++) {
         now += Milliseconds(250);
         const double start = processorMilliseconds();
         const auto outputs = plane.tick(now, std::move(inputs));
         if (tick >= ticks - measuredTicks)
-            spent += processorMilliseconds() - start;
+            processorTime += processorMilliseconds() - start;
         inputs.clear();
         for (const auto& output : outputs) {
             if (const auto* task = std::get_if<StartTask>(&output))
@@ -131,7 +131,7 @@
             if (const auto* stop = std::get_if<StopTask>(&output))
                 inputs.emplace_back(AttemptReported { stop->attempt, AttemptStatus::Checkpointed, { 2, 4, 0 }, now });
         }
-        const std::size_t ended = running.size() / tasksPerEnd;
+        const std::size_t ended = running.size() / tasksPerCompletion;
         for (std::size_t index = 0; index < running.size(); index++) {
             const auto status = index < ended ? AttemptStatus::Completed : AttemptStatus::Running;
             if (index < ended || index % 10 == static_cast<std::size_t>(tick) % 10)
@@ -139,9 +139,9 @@
         }
         running.erase(running.begin(), running.begin() + static_cast<std::ptrdiff_t>(ended));
         for (std::size_t index = 0; index < ended; index++)
-            inputs.emplace_back(JobSubmitted { makeJob(next++, size) });
+            inputs.emplace_back(JobSubmitted { makeJob(nextJob++, size) });
     }
-    cost.placementTickMilliseconds = spent / measuredTicks;
+    cost.placementTickMilliseconds = processorTime / measuredTicks;
     cost.placementMegabytes = heapMegabytes() - before;
 }
 
@@ -158,8 +158,8 @@
     return records;
 }
 
-/// Mean processor time of a second of driving a wave over the whole fleet: one list, one report of each VM that was
-/// asked, four ticks.
+/// Measures the mean processor time of a maintenance tick while a wave runs over the whole fleet. Every fourth tick
+/// gets a VM list, and each VM that was asked reports once.
 void measureWave(const Size& size, Cost& cost)
 {
     const double before = heapMegabytes();
@@ -170,7 +170,7 @@
     std::vector<MaintenanceInput> inputs { DocumentApplied { makeDocument(size) }, LedgerRead { now, 0, "" },
         WaveCommanded { "c", WaveId("wave"), WaveVerb::Start, Deadline::never() } };
     std::uint64_t version = 0;
-    double spent = 0;
+    double processorTime = 0;
     for (int tick = 0; tick < ticks; tick++) {
         now += Milliseconds(250);
         if (tick % 4 == 0)
@@ -183,7 +183,7 @@
         const double start = processorMilliseconds();
         const auto outputs = plane.tick(now, std::move(inputs));
         if (tick >= ticks - measuredTicks)
-            spent += processorMilliseconds() - start;
+            processorTime += processorMilliseconds() - start;
         inputs.clear();
         for (const auto& output : outputs) {
             if (const auto* write = std::get_if<UpdateLedger>(&output)) {
@@ -196,34 +196,34 @@
                 inputs.emplace_back(RebootReported { reboot->vm, reboot->operation, true });
         }
     }
-    cost.waveTickMilliseconds = spent / measuredTicks;
+    cost.waveTickMilliseconds = processorTime / measuredTicks;
     cost.waveMegabytes = heapMegabytes() - before;
 }
 
-/// The exponent of the growth between two sizes.
-double exponent(double small, double large, double ratio) { return std::log(large / small) / std::log(ratio); }
+/// The exponent of the growth between two sizes whose worker counts differ by the factor `ratio`.
+double growthExponent(double small, double large, double ratio) { return std::log(large / small) / std::log(ratio); }
 
 } // namespace
 
 int main(int argc, char** argv)
 {
-    CLI::App app { "Measures what placement and waves cost as the fleet grows" };
+    CLI::App app { "Measures how the cost of placement and waves grows with the fleet" };
     std::string folder = "docs/measurements";
     int repetitions = 3;
-    int single = 0;
-    bool takesFirstFit = false;
-    app.add_option("--repetitions", repetitions, "Runs of each size; the least is taken")->check(CLI::Range(1, 100));
-    app.add_option("--single", single, "Only run the size with so many workers once, for a profiler");
-    app.add_flag("--first-fit", takesFirstFit, "Take the first worker that fits instead of the fullest");
+    int profiledWorkers = 0;
+    bool useFirstFit = false;
+    app.add_option("--repetitions", repetitions, "Runs per size; the minimum is reported")->check(CLI::Range(1, 100));
+    app.add_option("--single", profiledWorkers, "Run only the size with this number of workers, once, for a profiler");
+    app.add_flag("--first-fit", useFirstFit, "Place each task on the first worker that fits instead of the fullest");
     app.add_option("--out", folder, "Folder for the table and the plot")->check(CLI::ExistingDirectory);
     CLI11_PARSE(app, argc, argv);
     const std::vector<Size> sizes { { 131, 7, 13 }, { 263, 13, 25 }, { 525, 26, 50 }, { 1050, 52, 100 },
         { 2100, 104, 200 } };
     auto profile = PlacementProfile::yard();
-    profile.packsTightly = !takesFirstFit;
+    profile.packsTightly = !useFirstFit;
     for (const auto& size : sizes) {
         Cost cost;
-        if (size.workers != single)
+        if (size.workers != profiledWorkers)
             continue;
         measurePlacement(size, profile, cost);
         measureWave(size, cost);
@@ -236,30 +236,32 @@
     table << std::fixed << std::setprecision(2)
           << "| workers | pools | teams | placement tick, ms | growth | placement heap, MB | wave tick, ms | growth | "
              "wave heap, MB | ledger, KB |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n";
-    Cost last;
+    Cost previous;
     for (const auto& size : sizes) {
         Cost cost;
         for (int repetition = 0; repetition < repetitions; repetition++) {
-            Cost one;
-            measurePlacement(size, profile, one);
-            measureWave(size, one);
+            Cost costOfRun;
+            measurePlacement(size, profile, costOfRun);
+            measureWave(size, costOfRun);
             if (repetition == 0)
-                cost = one;
-            cost.placementTickMilliseconds = std::min(cost.placementTickMilliseconds, one.placementTickMilliseconds);
-            cost.waveTickMilliseconds = std::min(cost.waveTickMilliseconds, one.waveTickMilliseconds);
+                cost = costOfRun;
+            cost.placementTickMilliseconds
+                = std::min(cost.placementTickMilliseconds, costOfRun.placementTickMilliseconds);
+            cost.waveTickMilliseconds = std::min(cost.waveTickMilliseconds, costOfRun.waveTickMilliseconds);
         }
         const bool isFirst = positions.empty();
         const double ratio = isFirst ? 1 : size.workers / positions.back();
         table << "| " << size.workers << " | " << size.pools << " | " << size.teams << " | "
               << cost.placementTickMilliseconds << " | "
-              << (isFirst ? 0 : exponent(last.placementTickMilliseconds, cost.placementTickMilliseconds, ratio))
+              << (isFirst ? 0
+                          : growthExponent(previous.placementTickMilliseconds, cost.placementTickMilliseconds, ratio))
               << " | " << cost.placementMegabytes << " | " << cost.waveTickMilliseconds << " | "
-              << (isFirst ? 0 : exponent(last.waveTickMilliseconds, cost.waveTickMilliseconds, ratio)) << " | "
-              << cost.waveMegabytes << " | " << cost.ledgerKilobytes << " |\n";
+              << (isFirst ? 0 : growthExponent(previous.waveTickMilliseconds, cost.waveTickMilliseconds, ratio))
+              << " | " << cost.waveMegabytes << " | " << cost.ledgerKilobytes << " |\n";
         positions.push_back(size.workers);
         placement.values.push_back(cost.placementTickMilliseconds);
         wave.values.push_back(cost.waveTickMilliseconds);
-        last = cost;
+        previous = cost;
     }
     std::ofstream page(folder + "/scale.md");
     page << "# Growth measured\n\nMade by `scripts/measure scale`: processor time of one tick (four a second) on the "
