--- a/tests/proofs-config/ConfigurationTests.cpp
+++ b/tests/proofs-config/ConfigurationTests.cpp
@@ -19,12 +19,12 @@
 
 namespace {
 
-/// The users' bound on a change of the configuration coming into force.
+/// Required bound for a configuration change to be in force on all daemons.
 constexpr Milliseconds inForceBound { 8000 };
-constexpr Milliseconds raceLimit { 120000 };
+constexpr Milliseconds operatorsTimeout { 120000 };
 constexpr int operatorCount = 4;
 
-/// A site of seven daemons with a document in force that has a team for each operator and one that all share.
+/// A site of seven daemons. Its document has one team for each operator and one team that all operators edit.
 struct ConfigurationSite : Site {
     explicit ConfigurationSite(bool relayed = false)
         : Site(makePlan(relayed))
@@ -45,8 +45,9 @@
         return plan;
     }
 
-    /// Lets the operators work, each through another daemon, until all are done.
-    void race(int rounds, const std::function<void()>& meanwhile)
+    /// Runs all operators concurrently, each starting with a different daemon, until all are done. `meanwhile` is
+    /// called before each poll.
+    void runOperators(int rounds, const std::function<void()>& meanwhile)
     {
         for (int number = 1; number <= operatorCount; ++number) {
             auto first = static_cast<std::size_t>(number - 1);
@@ -62,11 +63,11 @@
             }
             return std::ranges::all_of(this->operators, [](const auto& one) { return one->isDone(); });
         };
-        BOOST_REQUIRE(this->tool().waitUntil(allDone, raceLimit));
+        BOOST_REQUIRE(this->tool().waitUntil(allDone, operatorsTimeout));
     }
 
-    /// Waits until all daemons have the same newest revision, and returns the record.
-    DocumentRecord settle()
+    /// Waits until all daemons have applied the same revision, and returns its record.
+    DocumentRecord waitForSameRevision()
     {
         DocumentRecord record;
         auto allAgree = [&] {
@@ -82,13 +83,14 @@
         return record;
     }
 
-    /// Every accepted change is in the document, none was made twice, and none has gone back anywhere.
-    void checkRace(const DocumentRecord& record)
+    /// Checks that every accepted change is in the document, that none was made twice, and that no daemon went back to
+    /// an older revision.
+    void checkOperators(const DocumentRecord& record)
     {
         auto document = DocumentParser().parse(record.text);
         BOOST_REQUIRE(document.has_value());
         int shared = 0;
-        int undecidedShared = 0;
+        int unknownShared = 0;
         for (const auto& one : this->operators) {
             for (const auto& failure : one->failures)
                 BOOST_ERROR(one->author() + ": " + failure);
@@ -97,13 +99,13 @@
                 one->accepted.size(), one->acceptedShared, one->conflicts, one->notAccepted, one->unknown));
             this->checkOwnTeam(*one, document.value());
             shared += one->acceptedShared;
-            undecidedShared += one->unknown;
+            unknownShared += one->unknown;
         }
         auto changesShared = std::ranges::count_if(record.changes, [](const ChangeSummary& change) {
             return change.author != "test" && change.sections == std::vector<std::string> { "team shared" };
         });
         BOOST_TEST(changesShared >= shared);
-        BOOST_TEST(changesShared <= shared + undecidedShared);
+        BOOST_TEST(changesShared <= shared + unknownShared);
         std::set<std::string> ids;
         for (const auto& change : record.changes)
             BOOST_TEST(ids.insert(change.changeId).second);
@@ -117,14 +119,14 @@
         auto team = std::ranges::find(document.teams, TeamId(one.team()), &Team::name);
         BOOST_REQUIRE(team != document.teams.end());
         int lastAccepted = one.accepted.empty() ? 0 : one.accepted.back();
-        bool isUndecided = std::ranges::find(one.undecided, team->limit) != one.undecided.end();
-        BOOST_TEST((team->limit == lastAccepted || (isUndecided && team->limit > lastAccepted)),
+        bool isOutcomeUnknown = std::ranges::find(one.unknownLimits, team->limit) != one.unknownLimits.end();
+        BOOST_TEST((team->limit == lastAccepted || (isOutcomeUnknown && team->limit > lastAccepted)),
             one.team() << " has limit " << team->limit << ", last accepted " << lastAccepted);
     }
 
     std::uint64_t inForceRevision() { return this->monitor.revisionOf(0).value_or(0); }
 
-    /// Writes a working copy of the newest document with another limit of a team.
+    /// Writes a copy of the newest document in which a team has a new limit.
     void writeCopy(const std::string& name, const std::string& team, int limit)
     {
         BOOST_REQUIRE(CtlRun::runToEnd(*this, "show.out", { "show" }) == 0);
@@ -133,15 +135,16 @@
         std::ofstream(this->file(name)) << Operator::withLimit(text, team, limit);
     }
 
-    void controlOutage(const std::string& kind)
+    void setStoreOutage(const std::string& kind)
     {
         Json::Value settings;
         settings["outage"] = kind;
         this->controlStore(settings);
     }
 
-    /// Cuts the last daemon, alone in its zone, from the store and its peers. Endpoints and callers still reach it.
-    void cutLastDaemon()
+    /// Cuts the last daemon, the only one in its availability zone, from the store and its peers. It still reaches
+    /// endpoints and callers.
+    void isolateLastDaemon()
     {
         auto rule = [](const char* source, const char* destination, const char* action) {
             Json::Value json;
@@ -157,8 +160,8 @@
         this->controlRelay(settings);
     }
 
-    /// What becomes of a request with the booking team's key at the last daemon.
-    std::string outcomeAtLastDaemon()
+    /// Submits a request with the booking team's key to the last daemon and returns its outcome.
+    std::string submitAtLastDaemon()
     {
         HttpCall call;
         call.address = this->layout().daemons().back().address;
@@ -181,9 +184,9 @@
 BOOST_AUTO_TEST_CASE(racingOperatorsLoseNothing)
 {
     ConfigurationSite site;
-    site.race(6, [] {});
-    auto record = site.settle();
-    site.checkRace(record);
+    site.runOperators(6, [] {});
+    auto record = site.waitForSameRevision();
+    site.checkOperators(record);
     for (const auto& one : site.operators) {
         BOOST_TEST(one->accepted.size() == 3U);
         BOOST_TEST(one->notAccepted + one->unknown == 0);
@@ -193,16 +196,17 @@
 BOOST_AUTO_TEST_CASE(lostStoreAnswersMakeNoChangeTwice)
 {
     ConfigurationSite site;
-    site.race(6, [&] {
+    site.runOperators(6, [&] {
         Json::Value settings;
         settings["loseWriteAnswers"] = 1;
         site.controlStore(settings);
     });
-    site.checkRace(site.settle());
+    site.checkOperators(site.waitForSameRevision());
 }
 
-/// The daemon that makes a change dies before it can say so, and another operator alters the same section before the
-/// first one's command reaches a daemon again: the change counts as made, and the other's edit stays.
+/// The daemon that makes a change is killed before it can answer, and another operator edits the same section before
+/// the first operator's command reaches a daemon again. The first change must be reported as made, and the second must
+/// stay.
 BOOST_AUTO_TEST_CASE(changeOfADaemonThatDiedIsRecognised)
 {
     constexpr int storeDelayMilliseconds = 600;
@@ -213,7 +217,7 @@
     site.controlStore(settings);
     site.writeCopy("first.ini", "op-1", 5);
     CtlRun first(site, "first.out", { 0 }, { "--json", "apply", site.file("first.ini"), "--author", "first" });
-    // The text in the history, then the record.
+    // One write stores the text in the history, the other the document record.
     auto isWritten = [&] { return StoreCalls::read(site).since(before).count("write") == 2; };
     BOOST_REQUIRE(site.tool().waitUntil(isWritten, inForceBound));
     site.daemon(0).signal(SIGKILL);
@@ -224,35 +228,35 @@
     site.writeCopy("second.ini", "op-1", 7);
     BOOST_TEST(CtlRun::runToEnd(site, "second.out", { "apply", site.file("second.ini"), "--author", "second" }) == 0);
     site.startDaemon(0);
-    BOOST_REQUIRE(site.tool().waitUntil([&] { return first.exitCode().has_value(); }, raceLimit));
+    BOOST_REQUIRE(site.tool().waitUntil([&] { return first.exitCode().has_value(); }, operatorsTimeout));
     BOOST_TEST((first.exitCode() == 0));
     auto answer = AdminCodec::decodeAnswer(first.output());
     BOOST_REQUIRE_MESSAGE(answer.has_value(), first.output());
     BOOST_TEST(answer.value().revision == 2U);
-    BOOST_TEST(Operator::withLimit(site.settle().text, "op-1", 7) == site.settle().text);
+    BOOST_TEST(Operator::withLimit(site.waitForSameRevision().text, "op-1", 7) == site.waitForSameRevision().text);
 }
 
 BOOST_AUTO_TEST_CASE(storeOutageRevertsNothing)
 {
     ConfigurationSite site;
-    // Longer than an operator's command and a daemon's own attempts last.
+    // Longer than an operator's command and a daemon's own retries take.
     constexpr Milliseconds outageTime { 15000 };
     constexpr int pollsBefore = 20;
     int polls = 0;
     Deadline end = Deadline::never();
-    site.race(8, [&] {
+    site.runOperators(8, [&] {
         if (++polls == pollsBefore) {
-            site.controlOutage("silent");
+            site.setStoreOutage("silent");
             end = Deadline::after(BootClock::now(), outageTime);
         }
         if (end.hasPassed(BootClock::now())) {
-            site.controlOutage("none");
+            site.setStoreOutage("none");
             end = Deadline::never();
         }
     });
     BOOST_TEST(polls > pollsBefore);
-    site.controlOutage("none");
-    site.checkRace(site.settle());
+    site.setStoreOutage("none");
+    site.checkOperators(site.waitForSameRevision());
 }
 
 BOOST_AUTO_TEST_CASE(daemonStartedInAnOutageTakesTheNewestFromPeers)
@@ -263,7 +267,7 @@
     auto revision = site.inForceRevision();
     BOOST_TEST(revision == 2U);
     site.monitor.requireEverywhere(revision);
-    site.controlOutage("refuse");
+    site.setStoreOutage("refuse");
     site.daemon(5).signal(SIGKILL);
     BOOST_REQUIRE(site.daemon(5).wait(inForceBound).has_value());
     site.startDaemon(5);
@@ -304,39 +308,39 @@
 BOOST_AUTO_TEST_CASE(withdrawalIsNotCalledInForceWhileAFrozenDaemonMayActOnTheOld)
 {
     ConfigurationSite site;
-    auto isAnswered = [&] { return site.outcomeAtLastDaemon() == "answered"; };
+    auto isAnswered = [&] { return site.submitAtLastDaemon() == "answered"; };
     BOOST_REQUIRE(site.tool().waitUntil(isAnswered, inForceBound));
     site.daemon(6).signal(SIGSTOP);
     site.document().withdrawKey("booking-1");
     site.applyDocument();
     site.daemon(6).signal(SIGCONT);
-    BOOST_TEST(site.outcomeAtLastDaemon() == "not_run");
+    BOOST_TEST(site.submitAtLastDaemon() == "not_run");
 }
 
 BOOST_AUTO_TEST_CASE(withdrawalIsNotCalledInForceWhileACutOffDaemonMayActOnTheOld)
 {
     ConfigurationSite site(true);
-    auto isAnswered = [&] { return site.outcomeAtLastDaemon() == "answered"; };
+    auto isAnswered = [&] { return site.submitAtLastDaemon() == "answered"; };
     BOOST_REQUIRE(site.tool().waitUntil(isAnswered, inForceBound));
-    site.cutLastDaemon();
+    site.isolateLastDaemon();
     BOOST_TEST(isAnswered());
     site.document().withdrawKey("booking-1");
     site.applyDocument();
-    BOOST_TEST(site.outcomeAtLastDaemon() == "not_run");
+    BOOST_TEST(site.submitAtLastDaemon() == "not_run");
 }
 
-/// The platform takes several hundred writes and about two thousand reads a second from a whole site.
+/// The platform handles several hundred writes and about two thousand reads per second from a whole site.
 BOOST_AUTO_TEST_CASE(storeCallsStayWithinThePlatformsRates)
 {
     constexpr std::uint64_t writesPerSecond = 300;
     constexpr std::uint64_t readsPerSecond = 2000;
-    constexpr std::uint64_t restSeconds = 6;
+    constexpr std::uint64_t idleSeconds = 6;
     constexpr int changes = 5;
     ConfigurationSite site;
     auto before = StoreCalls::read(site);
-    auto restEnd = Deadline::after(BootClock::now(), Seconds(restSeconds));
-    BOOST_REQUIRE(site.tool().waitUntil([&] { return restEnd.hasPassed(BootClock::now()); }, Seconds(2 * restSeconds)));
-    auto atRest = StoreCalls::read(site).since(before);
+    auto idleEnd = Deadline::after(BootClock::now(), Seconds(idleSeconds));
+    BOOST_REQUIRE(site.tool().waitUntil([&] { return idleEnd.hasPassed(BootClock::now()); }, Seconds(2 * idleSeconds)));
+    auto whenIdle = StoreCalls::read(site).since(before);
     before = StoreCalls::read(site);
     auto begin = BootClock::now();
     for (int change = 1; change <= changes; ++change) {
@@ -345,10 +349,11 @@
     }
     auto took = std::chrono::duration_cast<Milliseconds>(BootClock::now() - begin);
     auto inChanges = StoreCalls::read(site).since(before);
-    BOOST_TEST_MESSAGE(fmt::format("at rest in {} s: {}", restSeconds, atRest.describe()));
-    BOOST_TEST_MESSAGE(fmt::format("in {} changes in {} ms: {}", changes, took.count(), inChanges.describe()));
-    BOOST_TEST(atRest.writes() < writesPerSecond * restSeconds);
-    BOOST_TEST(atRest.reads() < readsPerSecond * restSeconds);
+    BOOST_TEST_MESSAGE(fmt::format("store calls while idle for {} s: {}", idleSeconds, whenIdle.describe()));
+    BOOST_TEST_MESSAGE(
+        fmt::format("store calls during {} changes in {} ms: {}", changes, took.count(), inChanges.describe()));
+    BOOST_TEST(whenIdle.writes() < writesPerSecond * idleSeconds);
+    BOOST_TEST(whenIdle.reads() < readsPerSecond * idleSeconds);
     BOOST_TEST(inChanges.writes() < writesPerSecond);
     BOOST_TEST(inChanges.reads() < readsPerSecond);
 }
--- a/tests/proofs-config/CtlRun.h
+++ b/tests/proofs-config/CtlRun.h
@@ -11,19 +11,19 @@
 
 class Site;
 
-/// One run of greengagectl as a process of its own.
+/// One run of greengagectl as a child process.
 class CtlRun {
 public:
-    /// `name` is that of the file that the run's output goes to. The daemons are asked in the order given.
+    /// The output goes to the file `name` in the site's folder. The daemons are tried in the order given.
     CtlRun(Site&, const std::string& name, const std::vector<std::size_t>& daemons, std::vector<std::string> arguments);
 
-    /// The exit code once the run has ended.
+    /// The exit code, or nothing while the process runs.
     std::optional<int> exitCode() { return this->process->exitStatus(); }
 
-    /// What it has printed, both results and failures.
+    /// The text printed so far, both results and errors.
     std::string output() const;
 
-    /// Runs a command to its end.
+    /// Runs a command to its end and returns its exit code, or -1 if it does not end within the limit.
     static int runToEnd(Site&, const std::string& name, std::vector<std::string> arguments);
 
 private:
--- a/tests/proofs-config/Operator.cpp
+++ b/tests/proofs-config/Operator.cpp
@@ -33,14 +33,14 @@
     , daemons(std::move(daemons))
     , rounds(rounds)
 {
-    this->start(Step::Getting);
+    this->start(Step::Fetching);
 }
 
 void Operator::start(Step next)
 {
     this->step = next;
     auto copy = fmt::format("operator-{}.ini", this->number);
-    if (next == Step::Getting)
+    if (next == Step::Fetching)
         this->run = std::make_unique<CtlRun>(this->site, copy, this->daemons, std::vector<std::string> { "show" });
     else
         this->run = std::make_unique<CtlRun>(this->site, fmt::format("operator-{}.out", this->number), this->daemons,
@@ -57,16 +57,16 @@
         return 0;
     if (this->step == Step::Applying)
         return this->finishApplying(*code);
-    this->finishGetting(*code);
+    this->finishFetching(*code);
     return 0;
 }
 
-void Operator::finishGetting(int code)
+void Operator::finishFetching(int code)
 {
     if (code != doneCode) {
-        this->failures.push_back(fmt::format("show ended with {}: {}", code, this->run->output()));
+        this->failures.push_back(fmt::format("show ended with exit code {}: {}", code, this->run->output()));
         ++this->round;
-        this->start(Step::Getting);
+        this->start(Step::Fetching);
         return;
     }
     auto text = this->run->output();
@@ -94,13 +94,13 @@
     } else if (code == unknownCode) {
         ++this->unknown;
         if (!this->editsShared())
-            this->undecided.push_back(this->round);
+            this->unknownLimits.push_back(this->round);
     } else {
-        this->failures.push_back(fmt::format("apply ended with {}: {}", code, output));
+        this->failures.push_back(fmt::format("apply ended with exit code {}: {}", code, output));
     }
     ++this->round;
     if (!this->isDone())
-        this->start(Step::Getting);
+        this->start(Step::Fetching);
     return revision;
 }
 
--- a/tests/proofs-config/Operator.h
+++ b/tests/proofs-config/Operator.h
@@ -11,16 +11,16 @@
 
 class Site;
 
-/// An operator at work: gets the document with greengagectl, edits the limit of a team, applies it, and begins again.
-/// In every other round it edits the team's section that all operators share.
+/// A simulated operator that repeatedly fetches the document with greengagectl, edits the limit of a team and applies
+/// the result. In every other round it edits the section of the team that all operators share.
 class Operator {
 public:
     static constexpr const char* sharedTeam = "shared";
 
-    /// A text of the document with another limit in a team's section.
+    /// Returns the text with the limit in a team's section replaced.
     static std::string withLimit(std::string text, const std::string& team, int limit);
 
-    /// The daemons are asked in the order given.
+    /// The daemons are tried in the order given.
     Operator(Site&, int number, std::vector<std::size_t> daemons, int rounds);
 
     /// Starts the next command if the last one has ended. Returns the revision of a change that has just been reported
@@ -32,27 +32,27 @@
     std::string team() const { return "op-" + std::to_string(this->number); }
     std::string author() const { return "operator-" + std::to_string(this->number); }
 
-    /// Limits that the own team's section had in accepted changes, and in those of unknown outcome.
+    /// Limits of the operator's own team in accepted changes, and in changes of unknown outcome.
     std::vector<int> accepted;
-    std::vector<int> undecided;
-    /// Accepted changes of the shared section.
+    std::vector<int> unknownLimits;
+    /// Number of accepted changes of the shared section.
     int acceptedShared = 0;
     int conflicts = 0;
-    /// Changes that no daemon took, or whose outcome stayed unknown.
+    /// Number of changes that no daemon accepted, and of those whose outcome stayed unknown.
     int notAccepted = 0;
     int unknown = 0;
-    /// What commands said that ended in another way.
+    /// Exit code and output of commands that ended in any other way.
     std::vector<std::string> failures;
 
 private:
     enum class Step {
-        Getting,
+        Fetching,
         Applying,
     };
 
     bool editsShared() const { return this->round % 2 == 0; }
     void start(Step);
-    void finishGetting(int code);
+    void finishFetching(int code);
     std::uint64_t finishApplying(int code);
 
     Site& site;
@@ -60,7 +60,7 @@
     std::vector<std::size_t> daemons;
     int rounds;
     int round = 1;
-    Step step = Step::Getting;
+    Step step = Step::Fetching;
     std::unique_ptr<CtlRun> run;
 };
 
--- a/tests/proofs-config/RealSessionTests.cpp
+++ b/tests/proofs-config/RealSessionTests.cpp
@@ -18,8 +18,8 @@
     return { std::istreambuf_iterator<char>(stream), {} };
 }
 
-/// What differs from run to run: folders, ports, digests, times and ages.
-std::string blotOut(std::string text, const std::string& folder)
+/// Replaces what differs between runs: removes folders, and masks ports, digests and times.
+std::string maskVariableParts(std::string text, const std::string& folder)
 {
     for (auto place = text.find(folder); place != std::string::npos; place = text.find(folder))
         text.erase(place, folder.size());
@@ -29,7 +29,7 @@
     return text;
 }
 
-/// An operator's session against real daemons, kept as a transcript.
+/// An operator's session with real daemons, recorded as a transcript.
 struct RealSession : Site {
     RealSession()
         : Site(SitePlan::small())
@@ -38,7 +38,7 @@
         this->startDaemons();
     }
 
-    /// Runs a command; `copy` names the file that its output becomes, or nothing if it goes to the transcript.
+    /// Runs a command. Its output goes to the file `copy`, or to the transcript if `copy` is empty.
     int run(const std::vector<std::string>& words, const std::string& copy = "")
     {
         this->transcript += "$ greengagectl";
@@ -87,7 +87,7 @@
     BOOST_TEST(this->run({ "show" }) == 0);
     BOOST_TEST(this->run({ "--json", "status" }, "status.json") == 0);
     BOOST_TEST(this->run({ "report", "burn" }, "burn.txt") == 0);
-    auto transcript = blotOut(this->transcript, this->file(""));
+    auto transcript = maskVariableParts(this->transcript, this->file(""));
     auto path = std::string(SOURCE_ROOT) + "/tests/proofs-config/golden/operators-day.txt";
     if (std::getenv("GREENGAGE_WRITE_GOLDEN") != nullptr)
         std::ofstream(path, std::ios::binary) << transcript;
--- a/tests/proofs-config/RevisionMonitor.cpp
+++ b/tests/proofs-config/RevisionMonitor.cpp
@@ -10,26 +10,26 @@
 
 namespace {
 
-constexpr Milliseconds askTimeout { 2000 };
+constexpr Milliseconds fetchTimeout { 2000 };
 
 } // namespace
 
 RevisionMonitor::RevisionMonitor(Site& site)
     : site(site)
     , newest(site.layout().daemons().size(), 0)
-    , leftOut(newest.size(), false)
+    , excluded(newest.size(), false)
     , restarted(newest.size(), false)
 {
 }
 
-std::optional<std::string> RevisionMonitor::ask(std::size_t index, const std::string& path)
+std::optional<std::string> RevisionMonitor::fetch(std::size_t index, const std::string& path)
 {
     HttpCall call;
     call.address = this->site.layout().daemons()[index].address;
     call.port = this->site.layout().adminPort();
     call.path = path;
     call.headers.push_back({ "Authorization", "Bearer operator-key" });
-    call.timeout = askTimeout;
+    call.timeout = fetchTimeout;
     auto outcome = this->site.tool().send(call);
     if (!outcome.has_value() || outcome.value().status != 200)
         return std::nullopt;
@@ -38,7 +38,7 @@
 
 std::optional<std::uint64_t> RevisionMonitor::revisionOf(std::size_t index)
 {
-    auto body = this->ask(index, "/v1/status");
+    auto body = this->fetch(index, "/v1/status");
     if (!body)
         return std::nullopt;
     auto status = StatusCodec::decode(*body);
@@ -50,17 +50,18 @@
 
 DocumentRecord RevisionMonitor::recordOf(std::size_t index)
 {
-    auto body = this->ask(index, "/v1/document");
+    auto body = this->fetch(index, "/v1/document");
     auto record = DocumentCodec::decode(body.value_or(""));
     return record.has_value() ? record.value() : DocumentRecord();
 }
 
-void RevisionMonitor::note(std::size_t index, std::uint64_t revision, std::uint64_t floor, const std::string& what)
+void RevisionMonitor::recordRevision(
+    std::size_t index, std::uint64_t revision, std::uint64_t minimum, const std::string& what)
 {
-    bool startsFromNothing = this->restarted[index] && revision == 0;
-    if (revision < floor && !startsFromNothing) {
-        this->faults.push_back(
-            fmt::format("{} has revision {}, {} {}", this->site.layout().daemons()[index].name, revision, what, floor));
+    bool hasNoDocumentYet = this->restarted[index] && revision == 0;
+    if (revision < minimum && !hasNoDocumentYet) {
+        this->foundViolations.push_back(fmt::format(
+            "{} has revision {}, {} {}", this->site.layout().daemons()[index].name, revision, what, minimum));
     }
     if (revision > 0)
         this->restarted[index] = false;
@@ -70,31 +71,31 @@
 void RevisionMonitor::poll()
 {
     for (std::size_t index = 0; index < this->newest.size(); ++index) {
-        if (this->leftOut[index])
+        if (this->excluded[index])
             continue;
         if (auto revision = this->revisionOf(index))
-            this->note(index, *revision, this->newest[index], "after it had");
+            this->recordRevision(index, *revision, this->newest[index], "after it had applied");
     }
 }
 
 void RevisionMonitor::requireEverywhere(std::uint64_t revision)
 {
-    this->inForce = std::max(this->inForce, revision);
+    this->inForceRevision = std::max(this->inForceRevision, revision);
     for (std::size_t index = 0; index < this->newest.size(); ++index) {
-        if (this->leftOut[index])
+        if (this->excluded[index])
             continue;
         if (auto has = this->revisionOf(index))
-            this->note(index, *has, revision, "but all were said to have");
+            this->recordRevision(index, *has, revision, "although all daemons were reported to have");
     }
 }
 
 void RevisionMonitor::expectRestart(std::size_t index)
 {
-    this->leftOut[index] = false;
+    this->excluded[index] = false;
     this->restarted[index] = true;
-    this->newest[index] = this->inForce;
+    this->newest[index] = this->inForceRevision;
 }
 
-void RevisionMonitor::leaveOut(std::size_t index) { this->leftOut[index] = true; }
+void RevisionMonitor::exclude(std::size_t index) { this->excluded[index] = true; }
 
 } // namespace Greengage
--- a/tests/proofs-config/RevisionMonitor.h
+++ b/tests/proofs-config/RevisionMonitor.h
@@ -10,43 +10,44 @@
 class Site;
 struct DocumentRecord;
 
-/// Asks every daemon again and again which revision it has applied, and notes each one that goes back.
+/// Polls the applied revision of every daemon and records each daemon that goes back to an older one.
 class RevisionMonitor {
 public:
     explicit RevisionMonitor(Site&);
 
-    /// Asks all daemons once. A daemon that does not answer is passed over.
+    /// Polls all daemons once. A daemon that does not answer is skipped.
     void poll();
 
-    /// Asks all daemons once and notes each that answers with an older revision than one reported in force.
+    /// Polls all daemons once and records each that has an older revision than `revision`, which was reported in force.
     void requireEverywhere(std::uint64_t revision);
 
-    /// The daemon was started anew: it may have nothing, but nothing older than what is in force now.
+    /// Call it after a restart of a daemon: the daemon may have no document yet, but none older than the one in force
+    /// now.
     void expectRestart(std::size_t index);
 
-    /// Takes a daemon out of the questions, because it is frozen or dead.
-    void leaveOut(std::size_t index);
+    /// Stops polling a daemon, because it is frozen or killed.
+    void exclude(std::size_t index);
 
-    /// The revision that a daemon has applied; nothing if it does not answer.
+    /// The revision that a daemon has applied, or nothing if it does not answer.
     std::optional<std::uint64_t> revisionOf(std::size_t index);
 
-    /// The document as a daemon has it.
+    /// The document record of a daemon; a default one if it does not answer.
     DocumentRecord recordOf(std::size_t index);
 
-    const std::vector<std::string>& violations() const { return this->faults; }
-    /// How many answers have been looked at.
+    const std::vector<std::string>& violations() const { return this->foundViolations; }
+    /// The number of status answers received.
     int answers() const { return this->answerCount; }
 
 private:
-    std::optional<std::string> ask(std::size_t index, const std::string& path);
-    void note(std::size_t index, std::uint64_t revision, std::uint64_t floor, const std::string& what);
+    std::optional<std::string> fetch(std::size_t index, const std::string& path);
+    void recordRevision(std::size_t index, std::uint64_t revision, std::uint64_t minimum, const std::string& what);
 
     Site& site;
     std::vector<std::uint64_t> newest;
-    std::vector<bool> leftOut;
+    std::vector<bool> excluded;
     std::vector<bool> restarted;
-    std::uint64_t inForce = 0;
-    std::vector<std::string> faults;
+    std::uint64_t inForceRevision = 0;
+    std::vector<std::string> foundViolations;
     int answerCount = 0;
 };
 
--- a/tests/proofs-config/StoreCalls.h
+++ b/tests/proofs-config/StoreCalls.h
@@ -8,20 +8,20 @@
 
 class Site;
 
-/// How many calls the store has had, by kind.
+/// The number of calls that the store has received, by kind.
 class StoreCalls {
 public:
     static StoreCalls read(Site&);
 
-    /// The calls that came after an earlier reading.
+    /// The calls received after `earlier` was read.
     StoreCalls since(const StoreCalls& earlier) const;
 
     std::uint64_t writes() const;
     std::uint64_t count(const std::string& kind) const;
-    /// Everything that is not a write, an answered watch included.
+    /// All calls that are not writes, including answered watches.
     std::uint64_t reads() const;
 
-    /// All kinds, "kind=count" each.
+    /// All kinds as "kind=count", separated by spaces.
     std::string describe() const;
 
 private:
--- a/tests/proofs/AnswersTests.cpp
+++ b/tests/proofs/AnswersTests.cpp
@@ -17,7 +17,7 @@
     return settings;
 }
 
-/// Requires a clean history, and that every attempt got an outcome, since no daemon fails in these proofs.
+/// Requires a history without violations, and an outcome for every attempt, since no daemon fails in these proofs.
 HistoryVerdict requireOutcomes(ProofSite& proof)
 {
     auto verdict = proof.requireClean();
@@ -39,10 +39,11 @@
     }
     proof.site.controlEndpoints(endpointFault("*", "truncateAnswers", 0));
     auto verdict = requireOutcomes(proof);
-    BOOST_TEST(verdict.unknown > 0, "no truncated answer has met a request that may not be repeated");
+    BOOST_TEST(verdict.unknown > 0, "no truncated answer hit a request that may not be repeated");
 }
 
-/// Answers that come after the daemon has given up must not reach the next request on the connection.
+/// An answer that arrives after the daemon has given up on its request must not reach the next request on the same
+/// connection.
 BOOST_AUTO_TEST_CASE(lateAnswersReachNobodyElse)
 {
     ProofSite proof(SitePlan::small());
@@ -69,14 +70,14 @@
         proof.site.controlEndpoints(endpointFault(vm, "revive", true));
     }
     requireOutcomes(proof);
-    BOOST_TEST(proof.site.sumOverEndpoints("deaths") > 0, "no endpoint has died");
+    BOOST_TEST(proof.site.sumOverEndpoints("deaths") > 0, "no endpoint was terminated while answering");
     BOOST_TEST(proof.unansweredOn("quotes") == 0);
 }
 
-/// Every open connection between daemons and endpoints goes silent for good; new ones work.
+/// All open connections between daemons and endpoints stop carrying data for good, while new connections work.
 BOOST_AUTO_TEST_CASE(silentConnectionsAreLeftWithinTheBound)
 {
-    constexpr Milliseconds silenceBound { 3000 };
+    constexpr Milliseconds unresponsiveBound { 3000 };
     auto plan = SitePlan::small();
     plan.relayed = true;
     ProofSite proof(plan);
@@ -86,16 +87,17 @@
     settings["silence"]["source"] = "127.1.";
     settings["silence"]["destination"] = "127.2.";
     proof.site.controlRelay(settings);
-    auto silenced = BootClock::now();
+    auto unresponsiveSince = BootClock::now();
     requireOutcomes(proof);
-    auto later = silenced + silenceBound;
+    auto later = unresponsiveSince + unresponsiveBound;
     BOOST_TEST(proof.startsBetween(later, later + Milliseconds(2000), "booking") > 0);
     BOOST_TEST(proof.startsBetween(later, later + Milliseconds(2000), "venue") > 0);
-    // Work that may be repeated goes elsewhere within its deadline.
+    // Repeatable work is sent to another endpoint within its deadline.
     BOOST_TEST(proof.unansweredOn("quotes") == 0);
 }
 
-/// Endpoints that freeze and wake run what they took; nothing is doubled, and callers are told "unknown".
+/// Endpoints that are frozen and resumed run the work they had received. No work may run twice, and callers get the
+/// outcome "unknown" for work of which the daemon cannot know whether it ran.
 BOOST_AUTO_TEST_CASE(frozenEndpointsDoubleNothing)
 {
     ProofSite proof(SitePlan::small());
--- a/tests/proofs/KeysTests.cpp
+++ b/tests/proofs/KeysTests.cpp
@@ -9,13 +9,14 @@
 const std::string bookingLoad = "queue=quotes rate=30 run_ms=30 deadline_ms=2000 attempt_ms=800";
 const std::string venueLoad = "queue=orders rate=10 run_ms=30 deadline_ms=2000 attempt_ms=800";
 constexpr Milliseconds loadDuration { 16000 };
-constexpr Milliseconds beforeFailure { 1500 };
-constexpr Milliseconds afterBound { 1000 };
+constexpr Milliseconds warmUpTime { 1500 };
+constexpr Milliseconds timeInForce { 1000 };
 
-/// Requires that a key withdrawn at `withdrawn` had work before and none from the bound on.
-void requireStopped(const ProofSite& proof, Instant withdrawn, const std::string& team)
+/// Requires that a team whose key was withdrawn at `withdrawn` started work before that, and none after the bound.
+void requireWorkStopped(const ProofSite& proof, Instant withdrawn, const std::string& team)
 {
-    BOOST_TEST(proof.startsBetween(withdrawn - Seconds(3), withdrawn, team) > 0, "no work before the withdrawal");
+    BOOST_TEST(
+        proof.startsBetween(withdrawn - Seconds(3), withdrawn, team) > 0, "no work was started before the withdrawal");
     auto bound = withdrawn + HistoryChecker::withdrawalBound;
     BOOST_TEST(proof.startsBetween(bound, bound + Seconds(60), team) == 0);
 }
@@ -28,17 +29,17 @@
 {
     ProofSite proof(SitePlan::small());
     proof.site.startCallers("callers", { bookingLoad, venueLoad }, loadDuration);
-    ProofSite::pause(beforeFailure);
+    ProofSite::pause(warmUpTime);
     proof.site.document().withdrawKey("booking-1");
     proof.site.applyDocument(1);
     auto withdrawn = BootClock::now();
     proof.requireClean();
-    requireStopped(proof, withdrawn, "booking");
+    requireWorkStopped(proof, withdrawn, "booking");
     auto bound = withdrawn + HistoryChecker::withdrawalBound;
     BOOST_TEST(proof.startsBetween(bound, bound + Seconds(60), "venue") > 0);
 }
 
-/// The zone's daemons cannot hear of the withdrawal, so they must stop keyed work by themselves.
+/// The daemons of the cut-off zone cannot learn of the withdrawal, so they must stop keyed work on their own.
 BOOST_AUTO_TEST_CASE(withdrawnKeyStopsInACutOffZone)
 {
     auto plan = SitePlan::small();
@@ -46,29 +47,29 @@
     ProofSite proof(plan);
     proof.site.startCallers("inside", { bookingLoad, venueLoad }, loadDuration, {}, { 2, 3 });
     proof.site.startCallers("outside", { venueLoad }, loadDuration, {}, { 0, 1 });
-    ProofSite::pause(beforeFailure);
+    ProofSite::pause(warmUpTime);
     proof.isolateZone(2);
     proof.site.document().withdrawKey("booking-1");
     proof.site.applyDocument(0);
     auto inForce = BootClock::now();
-    ProofSite::pause(afterBound);
-    proof.healZones();
+    ProofSite::pause(timeInForce);
+    proof.reconnectZones();
     proof.requireClean();
     BOOST_TEST(proof.startsBetween(inForce, inForce + Seconds(60), "booking") == 0);
     BOOST_TEST(proof.startsBetween(inForce, inForce + Seconds(60), "venue") > 0);
 }
 
-/// A daemon that is frozen before the withdrawal and woken after it must not run what it holds for the key.
+/// A daemon that is frozen before the withdrawal and resumed after it must not run requests that it holds for the key.
 BOOST_AUTO_TEST_CASE(withdrawnKeyStopsInAFrozenAndWokenDaemon)
 {
     ProofSite proof(SitePlan::small());
     proof.site.startCallers("callers", { bookingLoad, venueLoad }, loadDuration);
-    ProofSite::pause(beforeFailure);
+    ProofSite::pause(warmUpTime);
     proof.site.daemon(2).signal(SIGSTOP);
     proof.site.document().withdrawKey("booking-1");
     proof.site.applyDocument(0);
     auto inForce = BootClock::now();
-    ProofSite::pause(afterBound);
+    ProofSite::pause(timeInForce);
     proof.site.daemon(2).signal(SIGCONT);
     proof.requireClean();
     BOOST_TEST(proof.startsBetween(inForce, inForce + Seconds(60), "booking") == 0);
--- a/tests/proofs/LeavingTests.cpp
+++ b/tests/proofs/LeavingTests.cpp
@@ -12,7 +12,7 @@
 
 BOOST_AUTO_TEST_SUITE(Leaving)
 
-/// The endpoint goes on taking work, so that only the daemons keep it away.
+/// The leaving endpoint still accepts work, so only the daemons can keep new work away from it.
 BOOST_AUTO_TEST_CASE(leavingEndpointGetsNoNewWork)
 {
     ProofSite proof(SitePlan::small());
@@ -22,12 +22,13 @@
     proof.site.setVmState("ordering-3", "leaving");
     auto left = BootClock::now();
     proof.requireClean();
-    BOOST_TEST(proof.startsBetween(left - Seconds(2), left, "", "pricing-2") > 0, "it had no work before");
+    BOOST_TEST(
+        proof.startsBetween(left - Seconds(2), left, "", "pricing-2") > 0, "pricing-2 had no work before it left");
     BOOST_TEST(proof.startsBetween(left + Seconds(3), left + Seconds(60), "", "pricing-2") == 0);
     BOOST_TEST(proof.startsBetween(left + Seconds(3), left + Seconds(60), "", "pricing-1") > 0);
 }
 
-/// Replaces all seven daemons one after another by graceful shutdowns while callers go on.
+/// Restarts all seven daemons one after another by graceful shutdown while callers keep submitting.
 BOOST_AUTO_TEST_CASE(rollingReplacementLosesNothing)
 {
     ProofSite proof(SitePlan::workshop());
@@ -42,7 +43,7 @@
         auto serves = [&] { return proof.site.answersHealth(index); };
         BOOST_TEST(proof.site.tool().waitUntil(serves, Site::waitLimit), "daemon " << index);
     }
-    BOOST_TEST(!callers.exitStatus().has_value(), "callers ended before the replacement did");
+    BOOST_TEST(!callers.exitStatus().has_value(), "callers ended before the last daemon was replaced");
     auto verdict = proof.requireClean();
     BOOST_TEST(verdict.unknown == 0);
     BOOST_TEST(verdict.brokenAttempts == 0);
--- a/tests/proofs/ProofSite.h
+++ b/tests/proofs/ProofSite.h
@@ -12,11 +12,11 @@
 
 namespace Greengage {
 
-/// A running site with its document in force, for one proof.
+/// A running site of real processes with a document in force on all daemons, for one proof.
 class ProofSite {
 public:
-    /// Bound of the end of callers after their last submission: deadline, answer grace and retries.
-    static constexpr Milliseconds callersEndLimit { 60000 };
+    /// Time for callers to end after their last submission; it covers deadline, answer grace and retries.
+    static constexpr Milliseconds callersTimeout { 60000 };
 
     explicit ProofSite(const SitePlan& plan)
         : site(plan)
@@ -28,10 +28,10 @@
 
     static void pause(Milliseconds span) { std::this_thread::sleep_for(span); }
 
-    /// Waits for the callers and requires that the histories show no fault and that work was done.
+    /// Waits for the callers and requires that the recorded history has no violation and at least one answer.
     HistoryVerdict requireClean()
     {
-        BOOST_REQUIRE(this->site.waitForCallers(callersEndLimit));
+        BOOST_REQUIRE(this->site.waitForCallers(callersTimeout));
         auto verdict = this->site.verdict();
         BOOST_TEST_MESSAGE(verdict.summary());
         for (const auto& detail : verdict.details)
@@ -41,7 +41,7 @@
         return verdict;
     }
 
-    /// How much work was started from `from` until `until`, of one team or of all, on one VM or on all.
+    /// The number of work starts in [`from`, `until`), optionally only those of one team or on one VM.
     int startsBetween(Instant from, Instant until, const std::string& team = "", const std::string& vm = "") const
     {
         auto history = this->site.history();
@@ -52,7 +52,7 @@
         return static_cast<int>(std::count_if(history.work.begin(), history.work.end(), counts));
     }
 
-    /// How many submissions to a queue ended without an answer.
+    /// The number of submissions to a queue that ended without an answer.
     int unansweredOn(const std::string& queue) const
     {
         auto history = this->site.history();
@@ -70,7 +70,8 @@
             std::count_if(answered.begin(), answered.end(), [](const auto& entry) { return !entry.second; }));
     }
 
-    /// Cuts a zone's daemons from the store, from the other zones' daemons and from their endpoints, silently.
+    /// Cuts the daemons of an availability zone from the store and from the daemons and endpoints of other zones.
+    /// Connections stall without an error.
     void isolateZone(int zone)
     {
         Json::Value settings;
@@ -83,7 +84,7 @@
         this->site.controlRelay(settings);
     }
 
-    void healZones()
+    void reconnectZones()
     {
         Json::Value settings;
         settings["rules"] = Json::arrayValue;
