--- a/cmake/Packages.cmake
+++ b/cmake/Packages.cmake
@@ -1,6 +1,6 @@
 # greengage_module(NAME [DEPENDS targets...])
-# Declares one package: a static library of every .cpp file below the current folder except tests/ and main.cpp,
-# and a Boost.Test program of every .cpp file below tests/.
+# Declares a package: a static library of all .cpp files below the current folder except tests/ and main.cpp, and a
+# Boost.Test program of all .cpp files below tests/.
 function(greengage_module name)
     cmake_parse_arguments(MODULE "" "" "DEPENDS" ${ARGN})
     file(GLOB_RECURSE sources CONFIGURE_DEPENDS *.cpp)
@@ -22,7 +22,7 @@
 endfunction()
 
 # greengage_test(NAME SOURCES files... [DEPENDS targets...])
-# Declares one Boost.Test program that scripts/test runs. Its tests find golden files below SOURCE_ROOT.
+# Declares a Boost.Test program that scripts/test runs. Its tests find golden files below SOURCE_ROOT.
 function(greengage_test name)
     if(NOT GREENGAGE_TESTS)
         return()
@@ -32,7 +32,8 @@
     target_compile_definitions(${name} PRIVATE
         BOOST_TEST_DYN_LINK
         SOURCE_ROOT="${PROJECT_SOURCE_DIR}" BINARY_ROOT="${CMAKE_BINARY_DIR}")
-    # Only the file that defines the module's name brings the program's main function; helpers do not include Boost.Test.
+    # Boost.Test generates main in the one file that defines BOOST_TEST_MODULE. Files that are not named *Tests.cpp are
+    # helpers without tests and do not include Boost.Test.
     set(suites ${TEST_SOURCES})
     list(FILTER suites INCLUDE REGEX "Tests\\.cpp$")
     list(GET suites 0 first)
--- a/scripts/lint.py
+++ b/scripts/lint.py
@@ -1,4 +1,4 @@
-"""Runs clang-tidy over source files in parallel and remembers the digests of clean inputs."""
+"""Runs clang-tidy on source files in parallel and caches the digests of inputs without findings."""
 import concurrent.futures
 import hashlib
 import json
@@ -19,7 +19,7 @@
     return hashlib.sha256(config + text).hexdigest()
 
 
-def check(entry, build, root, cache):
+def lint_file(entry, build, root, cache):
     digest = preprocessed_digest(entry, root)
     marker = cache / digest
     if marker.exists():
@@ -33,20 +33,20 @@
 def main():
     root = pathlib.Path(__file__).resolve().parent.parent
     build = (root / sys.argv[1]).resolve()
-    wanted = {str(pathlib.Path(name).resolve()) for name in sys.argv[2:]}
+    requested = {str(pathlib.Path(name).resolve()) for name in sys.argv[2:]}
     home = os.environ.get("XDG_CACHE_HOME") or os.path.join(os.path.expanduser("~"), ".cache")
     cache = pathlib.Path(home) / "greengage-lint"
     cache.mkdir(parents=True, exist_ok=True)
     entries = {entry["file"]: entry for entry in json.loads((build / "compile_commands.json").read_text())}
-    chosen = [entry for name, entry in sorted(entries.items()) if not wanted or name in wanted]
+    selected = [entry for name, entry in sorted(entries.items()) if not requested or name in requested]
     failed = 0
     jobs = int(os.environ.get("JOBS", os.cpu_count()))
     with concurrent.futures.ThreadPoolExecutor(jobs) as pool:
-        for name, clean, text in pool.map(lambda entry: check(entry, build, root, cache), chosen):
+        for name, clean, text in pool.map(lambda entry: lint_file(entry, build, root, cache), selected):
             if not clean:
                 failed += 1
                 print(text)
-    print(f"lint: {len(chosen)} files, {failed} with findings")
+    print(f"lint: {len(selected)} files, {failed} with findings")
     return 1 if failed else 0
 
 
--- a/scripts/test.py
+++ b/scripts/test.py
@@ -1,6 +1,6 @@
-"""Runs the Boost.Test programs listed by the build and counts test cases.
+"""Runs the Boost.Test programs listed by the build and counts passed and failed test cases.
 
-A case named in KNOWN-RED.txt may fail without failing the run; it is printed. Every other failure fails the run.
+A failure of a case that is listed in KNOWN-RED.txt is printed but does not fail the run. Any other failure does.
 """
 import os
 import pathlib
@@ -20,7 +20,7 @@
 
 
 def run_program(build, name):
-    """Returns the names of the cases that passed and of those that failed."""
+    """Runs one test program and returns the names of the passed and of the failed cases."""
     report = build / f"{name}.xml"
     report.unlink(missing_ok=True)
     command = [str(build / "bin" / name), f"--logger=JUNIT,warning,{report}", "--logger=HRF,error,stdout", "--no_color_output"]
@@ -37,8 +37,8 @@
             cases = []
         for case in cases:
             full = f"{name}/{case.get('classname')}/{case.get('name')}".replace(".", "/")
-            bad = case.find("failure") is not None or case.find("error") is not None
-            (failed if bad else passed).append(full)
+            has_failed = case.find("failure") is not None or case.find("error") is not None
+            (failed if has_failed else passed).append(full)
     if code != 0 and not failed:
         failed.append(f"{name}/exit-{code}")
     if not passed and not failed:
@@ -51,18 +51,18 @@
     build = (root / sys.argv[1]).resolve()
     programs = sys.argv[2:] or (build / "tests.list").read_text().split()
     known_red = read_known_red(root)
-    passed, failed, red = 0, 0, []
+    passed, failed, known_failures = 0, 0, []
     for name in programs:
-        good, bad = run_program(build, name)
-        passed += len(good)
-        for case in bad:
+        passed_cases, failed_cases = run_program(build, name)
+        passed += len(passed_cases)
+        for case in failed_cases:
             if case in known_red:
-                red.append(case)
+                known_failures.append(case)
                 continue
             failed += 1
             print(f"FAILED {case}", flush=True)
-        print(f"{name}: {len(good)} passed, {len(bad)} failed", flush=True)
-    for case in red:
+        print(f"{name}: {len(passed_cases)} passed, {len(failed_cases)} failed", flush=True)
+    for case in known_failures:
         print(f"KNOWN RED {case}")
     print(f"{passed} passed, {failed} failed", flush=True)
     return 1 if failed else 0
