--- a/tests/measure/capacity/CapacityProbe.cpp
+++ b/tests/measure/capacity/CapacityProbe.cpp
@@ -138,7 +138,7 @@
     for (int peer = 1; peer < this->size.daemons; ++peer) {
         auto state = this->fleet.peerState(peer);
         state.demand.clear();
-        inputs.emplace_back(PeerHeard { state, clock.current() });
+        inputs.emplace_back(PeerStateReceived { state, clock.current() });
     }
     this->confirmAllotments(plane, clock.current(), plane.tick(clock.current(), std::move(inputs)));
     int vms = this->size.endpoints + this->size.workers;
@@ -156,7 +156,7 @@
     auto otherState = this->fleet.peerState(1);
     this->addReading("request plane takes a peer state", "us", "teams", this->size.teams,
         CostMeter::microsecondsOf(slowOperationRepeats, [&] {
-            plane.tick(clock.current(), { PeerHeard { otherState, clock.current() } });
+            plane.tick(clock.current(), { PeerStateReceived { otherState, clock.current() } });
         }));
 }
 
--- a/tests/measure/capacity/SyntheticFleet.cpp
+++ b/tests/measure/capacity/SyntheticFleet.cpp
@@ -134,7 +134,7 @@
     }
     for (int peer = 0; peer < this->size.daemons; ++peer) {
         if (peer != index)
-            state.sightings.push_back(
+            state.observations.push_back(
                 { incarnation(peer), ZoneId(fmt::format("zone-{}", peer % this->size.zones)), Milliseconds(250) });
     }
     return state;
--- a/tests/measure/scale/MeasureScale.cpp
+++ b/tests/measure/scale/MeasureScale.cpp
@@ -178,7 +178,7 @@
         PeerState state;
         state.incarnation = self;
         state.appliedLedgerRevision = plane.ledger().revision;
-        inputs.emplace_back(PeerHeard { state, now });
+        inputs.emplace_back(PeerStateReceived { state, now });
         inputs.emplace_back(MembersListed { { { self, ZoneId(), {} } } });
         const double start = processorMilliseconds();
         const auto outputs = plane.tick(now, std::move(inputs));
@@ -190,8 +190,8 @@
                 inputs.emplace_back(LedgerRead { now, ++version, write->value });
                 cost.ledgerKilobytes = std::max(cost.ledgerKilobytes, static_cast<double>(write->value.size()) / 1e3);
             }
-            if (const auto* ask = std::get_if<AskRunning>(&output))
-                inputs.emplace_back(RunningReported { ask->endpoint, now, {} });
+            if (const auto* query = std::get_if<QueryRunning>(&output))
+                inputs.emplace_back(RunningReported { query->endpoint, now, {} });
             if (const auto* reboot = std::get_if<RebootVm>(&output))
                 inputs.emplace_back(RebootReported { reboot->vm, reboot->operation, true });
         }
