--- a/tests/fuzz/targets/ledger.cpp
+++ b/tests/fuzz/targets/ledger.cpp
@@ -1,5 +1,5 @@
 #include <fleet/maintenance/ledger/MaintenanceLedger.h>
-#include <fleet/requests/limits/AllotmentBook.h>
+#include <fleet/requests/limits/AllotmentTable.h>
 #include <tests/fuzz/FuzzInput.h>
 
 using namespace Greengage;
@@ -9,9 +9,9 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size)
 {
     auto text = inputText(data, size);
-    auto book = AllotmentBook::parse(text);
-    if (book.has_value())
-        requireProperty(AllotmentBook::parse(book.value().format()).value().format() == book.value().format());
+    auto table = AllotmentTable::parse(text);
+    if (table.has_value())
+        requireProperty(AllotmentTable::parse(table.value().format()).value().format() == table.value().format());
     auto ledger = MaintenanceLedger::decode(text);
     if (!ledger.has_value())
         return 0;
--- a/tests/measure/capacity/CapacityProbe.cpp
+++ b/tests/measure/capacity/CapacityProbe.cpp
@@ -6,7 +6,7 @@
 #include <core/time/ManualClock.h>
 #include <fleet/maintenance/MaintenancePlane.h>
 #include <fleet/requests/RequestPlane.h>
-#include <fleet/requests/limits/AllotmentBook.h>
+#include <fleet/requests/limits/AllotmentTable.h>
 #include <json/json.h>
 #include <measure/capacity/CostMeter.h>
 #include <mesh/codec/PeerStateCodec.h>
@@ -114,18 +114,18 @@
 
 void CapacityProbe::measureAllotments()
 {
-    AllotmentBook book;
+    AllotmentTable table;
     for (int team = 0; team < this->size.teams; ++team) {
         for (int daemon = 0; daemon < this->size.daemons; ++daemon)
-            book.assign(TeamId("team-" + std::to_string(team)), SyntheticFleet::incarnation(daemon), 3);
+            table.assign(TeamId("team-" + std::to_string(team)), SyntheticFleet::incarnation(daemon), 3);
     }
-    auto text = book.format();
+    auto text = table.format();
     int entries = this->size.teams * this->size.daemons;
     const char* driver = "teams x daemons";
     this->addReading("allotment book, all teams busy", "bytes", driver, entries, static_cast<double>(text.size()));
     this->addReading("decode an allotment book", "us", driver, entries,
         CostMeter::microsecondsOf(slowOperationRepeats,
-            [&] { assertInvariant(AllotmentBook::parse(text).has_value(), "the synthetic allotment book decodes"); }));
+            [&] { assertInvariant(AllotmentTable::parse(text).has_value(), "the synthetic allotment book decodes"); }));
 }
 
 void CapacityProbe::measureRequestPlane()
--- a/tests/measure/policy/WaveChooser.cpp
+++ b/tests/measure/policy/WaveChooser.cpp
@@ -74,9 +74,9 @@
     view.apply(now, EndpointsListed { this->records, {}, 0 });
     for (const auto& record : this->records)
         view.apply(now, RunningReported { record.id, now, {} });
-    const std::unordered_map<VmId, VmWatch> watches;
+    const std::unordered_map<VmId, VmPhaseState> phaseStates;
     std::vector<WaveEvent> events;
-    WaveContext context { now, view, this->waveLedger, watches, events };
+    WaveContext context { now, view, this->waveLedger, phaseStates, events };
     if (this->waveMode == WaveMode::Ordered)
         startDrains(context);
     else
--- a/tests/proofs-config/ConfigurationTests.cpp
+++ b/tests/proofs-config/ConfigurationTests.cpp
@@ -1,7 +1,7 @@
 #include <boost/test/unit_test.hpp>
 #include <config/config.h>
 #include <core/time/Deadline.h>
-#include <daemon/configuration/DocumentKeeper.h>
+#include <daemon/configuration/DocumentCache.h>
 #include <tests/proofs-config/Operator.h>
 #include <tests/proofs-config/RevisionMonitor.h>
 #include <tests/proofs-config/StoreCalls.h>
@@ -284,11 +284,11 @@
 BOOST_AUTO_TEST_CASE(olderRecordThatComesLateIsNotApplied)
 {
     std::vector<std::uint64_t> applied;
-    DocumentKeeper keeper([&](std::shared_ptr<const Document> document) { applied.push_back(document->revision); });
+    DocumentCache cache([&](std::shared_ptr<const Document> document) { applied.push_back(document->revision); });
     for (std::uint64_t revision : { 2, 1, 2, 4, 3 })
-        keeper.offer({ revision, {}, "; revision\n" }, "test");
+        cache.offer({ revision, {}, "; revision\n" }, "test");
     BOOST_TEST((applied == std::vector<std::uint64_t> { 2, 4 }));
-    BOOST_TEST(keeper.known().appliedRevision() == 4U);
+    BOOST_TEST(cache.known().appliedRevision() == 4U);
 }
 
 BOOST_AUTO_TEST_CASE(daemonWithoutAnyDocumentServesNothing)
