--- a/tests/fuzz/targets/store.cpp
+++ b/tests/fuzz/targets/store.cpp
@@ -1,7 +1,7 @@
 #include <daemon/membership/MemberCodec.h>
 #include <daemon/membership/MemberRecord.h>
 #include <json/value.h>
-#include <store/http/HttpAnswer.h>
+#include <store/http/HttpResponse.h>
 #include <store/store/StoreAnswers.h>
 #include <store/store/StoreEntry.h>
 #include <store/store/WatchResult.h>
@@ -17,7 +17,7 @@
     auto member = MemberCodec::decode(text);
     if (member.has_value())
         requireProperty(MemberCodec::decode(MemberCodec::encode(member.value())).has_value());
-    HttpAnswer answer;
+    HttpResponse answer;
     answer.status = 200;
     answer.body = text;
     auto json = StoreAnswers::parse(answer);
--- a/tests/measure/capacity/CapacityProbe.cpp
+++ b/tests/measure/capacity/CapacityProbe.cpp
@@ -10,7 +10,7 @@
 #include <json/json.h>
 #include <measure/capacity/CostMeter.h>
 #include <mesh/codec/PeerStateCodec.h>
-#include <store/http/HttpAnswer.h>
+#include <store/http/HttpResponse.h>
 #include <store/store/StoreAnswers.h>
 
 namespace Greengage {
@@ -82,7 +82,7 @@
 
 void CapacityProbe::measureVmList()
 {
-    HttpAnswer answer;
+    HttpResponse answer;
     answer.status = 200;
     answer.body = this->fleet.vmListJson();
     int vms = this->size.endpoints + this->size.workers;
--- a/tests/measure/daemon/IdleMeasurement.cpp
+++ b/tests/measure/daemon/IdleMeasurement.cpp
@@ -54,7 +54,7 @@
 {
     std::vector<std::string> pages;
     for (const DaemonPlace& daemon : site.layout().daemons()) {
-        HttpCall call;
+        HttpRequest call;
         call.address = daemon.address;
         call.port = site.layout().callerPort();
         call.path = "/metrics";
--- a/tests/proofs-config/ConfigurationTests.cpp
+++ b/tests/proofs-config/ConfigurationTests.cpp
@@ -163,7 +163,7 @@
     /// Submits a request with the booking team's key to the last daemon and returns its outcome.
     std::string submitAtLastDaemon()
     {
-        HttpCall call;
+        HttpRequest call;
         call.address = this->layout().daemons().back().address;
         call.port = this->layout().callerPort();
         call.path = "/v1/queues/quotes";
--- a/tests/proofs-config/RevisionMonitor.cpp
+++ b/tests/proofs-config/RevisionMonitor.cpp
@@ -24,7 +24,7 @@
 
 std::optional<std::string> RevisionMonitor::fetch(std::size_t index, const std::string& path)
 {
-    HttpCall call;
+    HttpRequest call;
     call.address = this->site.layout().daemons()[index].address;
     call.port = this->site.layout().adminPort();
     call.path = path;
--- a/tests/site/BlockingHttpClient.cpp
+++ b/tests/site/BlockingHttpClient.cpp
@@ -21,7 +21,7 @@
 {
 }
 
-BlockingHttpClient::Outcome BlockingHttpClient::send(HttpCall call)
+BlockingHttpClient::Outcome BlockingHttpClient::send(HttpRequest call)
 {
     std::optional<Outcome> outcome;
     call.freshConnection = true;
@@ -36,7 +36,7 @@
 Json::Value BlockingHttpClient::post(
     const std::string& address, std::uint16_t port, const std::string& path, const Json::Value& body)
 {
-    HttpCall call;
+    HttpRequest call;
     call.address = address;
     call.port = port;
     call.path = path;
@@ -46,14 +46,14 @@
 
 Json::Value BlockingHttpClient::get(const std::string& address, std::uint16_t port, const std::string& path)
 {
-    HttpCall call;
+    HttpRequest call;
     call.address = address;
     call.port = port;
     call.path = path;
     return this->sendForJson(call);
 }
 
-Json::Value BlockingHttpClient::sendForJson(const HttpCall& call)
+Json::Value BlockingHttpClient::sendForJson(const HttpRequest& call)
 {
     auto outcome = this->send(call);
     auto where = call.address + ":" + std::to_string(call.port) + call.path + ": ";
--- a/tests/site/BlockingHttpClient.h
+++ b/tests/site/BlockingHttpClient.h
@@ -12,12 +12,12 @@
 /// A blocking HTTP client for tests that control other processes.
 class BlockingHttpClient {
 public:
-    using Outcome = Result<HttpAnswer, HttpFailure>;
+    using Outcome = Result<HttpResponse, HttpFailure>;
 
     BlockingHttpClient();
 
     /// Sends the call on a new connection and waits for the outcome.
-    Outcome send(HttpCall);
+    Outcome send(HttpRequest);
 
     /// POSTs a JSON object and returns the JSON object in the answer. Throws if the call fails, its status is not 200
     /// or the answer is not a JSON object. `get` does the same without a body.
@@ -28,7 +28,7 @@
     bool waitUntil(const std::function<bool()>& condition, Milliseconds limit);
 
 private:
-    Json::Value sendForJson(const HttpCall&);
+    Json::Value sendForJson(const HttpRequest&);
 
     Loop loop;
     HttpClient client;
--- a/tests/site/Site.cpp
+++ b/tests/site/Site.cpp
@@ -114,7 +114,7 @@
 void Site::waitForStandins()
 {
     auto answers = [this](std::uint16_t port, const std::string& path) {
-        HttpCall call;
+        HttpRequest call;
         call.address = SiteLayout::storeAddress();
         call.port = port;
         call.path = path;
@@ -173,7 +173,7 @@
 
 bool Site::answersHealth(std::size_t index)
 {
-    HttpCall call;
+    HttpRequest call;
     call.address = this->siteLayout.daemons()[index].address;
     call.port = this->siteLayout.callerPort();
     call.path = "/healthz";
@@ -181,9 +181,9 @@
     return outcome && outcome.value().status == 200;
 }
 
-HttpCall Site::adminCall(std::size_t daemonIndex, const std::string& path) const
+HttpRequest Site::adminCall(std::size_t daemonIndex, const std::string& path) const
 {
-    HttpCall call;
+    HttpRequest call;
     call.address = this->siteLayout.daemons()[daemonIndex].address;
     call.port = this->siteLayout.adminPort();
     call.path = path;
--- a/tests/site/Site.h
+++ b/tests/site/Site.h
@@ -100,7 +100,7 @@
     void runCtlOrThrow(const std::vector<std::string>& command);
     /// Submits the document until it is accepted and returns its revision.
     std::uint64_t submitDocument(std::size_t daemonIndex);
-    HttpCall adminCall(std::size_t daemonIndex, const std::string& path) const;
+    HttpRequest adminCall(std::size_t daemonIndex, const std::string& path) const;
     void waitForStandins();
     std::unique_ptr<ChildProcess> start(const std::string& name, std::vector<std::string> command);
 
--- a/tests/standins/caller/CallerProcess.cpp
+++ b/tests/standins/caller/CallerProcess.cpp
@@ -23,13 +23,13 @@
 constexpr Milliseconds completionCheckInterval { 20 };
 constexpr std::array<int, 6> finalStatuses { 400, 401, 404, 405, 409, 413 };
 
-SeenOutcome toSeenOutcome(const HttpAnswer& answer)
+SeenOutcome toSeenOutcome(const HttpResponse& answer)
 {
     auto outcome = enumFromName<SeenOutcome>(answer.header("Greengage-Outcome"));
     return outcome.value_or(SeenOutcome::Broken);
 }
 
-Milliseconds retryPauseOf(const HttpAnswer* answer)
+Milliseconds retryPauseOf(const HttpResponse* answer)
 {
     if (!answer)
         return retryPause;
@@ -118,9 +118,10 @@
     auto body = order.toBody(submission->load->bodyBytes);
     this->recordInvoke(*submission);
     auto& client = this->clients[this->submitted % this->clients.size()];
-    client->send(this->makeCall(*submission, body), [this, submission, body](Result<HttpAnswer, HttpFailure> outcome) {
-        this->handleOutcome(submission, body, outcome);
-    });
+    client->send(
+        this->makeCall(*submission, body), [this, submission, body](Result<HttpResponse, HttpFailure> outcome) {
+            this->handleOutcome(submission, body, outcome);
+        });
 }
 
 void CallerProcess::chooseDaemon(Submission& submission)
@@ -132,12 +133,12 @@
     submission.daemon = chosen;
 }
 
-HttpCall CallerProcess::makeCall(const Submission& submission, const std::string& body) const
+HttpRequest CallerProcess::makeCall(const Submission& submission, const std::string& body) const
 {
     const auto& daemon = this->options.daemons[submission.daemon];
     auto remaining = std::chrono::duration_cast<Milliseconds>(submission.deadline.remaining(BootClock::now()));
     remaining = std::max(remaining, Milliseconds(1));
-    HttpCall call;
+    HttpRequest call;
     call.address = daemon.address;
     call.port = daemon.port;
     call.path = "/v1/queues/" + submission.load->queue;
@@ -154,7 +155,7 @@
 }
 
 void CallerProcess::handleOutcome(
-    const SubmissionPointer& submission, const std::string& body, const Result<HttpAnswer, HttpFailure>& outcome)
+    const SubmissionPointer& submission, const std::string& body, const Result<HttpResponse, HttpFailure>& outcome)
 {
     if (outcome) {
         auto seen = toSeenOutcome(outcome.value());
@@ -167,7 +168,7 @@
     this->retryOrEnd(submission, seen, nullptr);
 }
 
-void CallerProcess::retryOrEnd(const SubmissionPointer& submission, SeenOutcome seen, const HttpAnswer* answer)
+void CallerProcess::retryOrEnd(const SubmissionPointer& submission, SeenOutcome seen, const HttpResponse* answer)
 {
     bool isFinal = seen == SeenOutcome::Answered;
     if (seen == SeenOutcome::NotRun && answer)
@@ -197,7 +198,7 @@
 }
 
 void CallerProcess::recordAnswer(
-    const Submission& submission, SeenOutcome seen, const std::string& body, const HttpAnswer* answer)
+    const Submission& submission, SeenOutcome seen, const std::string& body, const HttpResponse* answer)
 {
     bool whole = seen != SeenOutcome::Answered || answer->body == WorkOrder::answerFor(body);
     this->history.append(LogLine("answer")
--- a/tests/standins/caller/CallerProcess.h
+++ b/tests/standins/caller/CallerProcess.h
@@ -32,12 +32,12 @@
     double currentRate(std::size_t load) const;
     void submit(std::size_t load);
     void attempt(const SubmissionPointer&);
-    HttpCall makeCall(const Submission&, const std::string& body) const;
+    HttpRequest makeCall(const Submission&, const std::string& body) const;
     void chooseDaemon(Submission&);
-    void handleOutcome(const SubmissionPointer&, const std::string& body, const Result<HttpAnswer, HttpFailure>&);
-    void retryOrEnd(const SubmissionPointer&, SeenOutcome, const HttpAnswer*);
+    void handleOutcome(const SubmissionPointer&, const std::string& body, const Result<HttpResponse, HttpFailure>&);
+    void retryOrEnd(const SubmissionPointer&, SeenOutcome, const HttpResponse*);
     void recordInvoke(const Submission&);
-    void recordAnswer(const Submission&, SeenOutcome, const std::string& body, const HttpAnswer*);
+    void recordAnswer(const Submission&, SeenOutcome, const std::string& body, const HttpResponse*);
     void stopIfDone();
 
     Loop& loop;
--- a/tests/standins/tests/MinionFixture.h
+++ b/tests/standins/tests/MinionFixture.h
@@ -19,7 +19,7 @@
 class MinionFixture {
 public:
     static constexpr Milliseconds waitLimit { 10000 };
-    using Outcome = Result<HttpAnswer, HttpFailure>;
+    using Outcome = Result<HttpResponse, HttpFailure>;
 
     MinionFixture()
         : port(static_cast<std::uint16_t>(21000 + getpid() % 400 * 2))
@@ -34,9 +34,9 @@
 
     ~MinionFixture() { std::filesystem::remove(this->historyPath); }
 
-    HttpCall makeCall(const std::string& path, const std::string& body = "") const
+    HttpRequest makeCall(const std::string& path, const std::string& body = "") const
     {
-        HttpCall call;
+        HttpRequest call;
         call.address = "127.2.1.1";
         call.port = this->port;
         call.path = path;
@@ -46,14 +46,14 @@
     }
 
     /// Sends without waiting; the outcome is stored in the returned object when it arrives.
-    std::shared_ptr<std::optional<Outcome>> begin(const HttpCall& call)
+    std::shared_ptr<std::optional<Outcome>> begin(const HttpRequest& call)
     {
         auto pending = std::make_shared<std::optional<Outcome>>();
         this->client.send(call, [pending](Outcome outcome) { *pending = std::move(outcome); });
         return pending;
     }
 
-    Outcome await(const HttpCall& call)
+    Outcome await(const HttpRequest& call)
     {
         auto pending = this->begin(call);
         if (!this->loop.runUntil([&] { return pending->has_value(); }, waitLimit))
--- a/tests/standins/tests/RelayTests.cpp
+++ b/tests/standins/tests/RelayTests.cpp
@@ -15,7 +15,7 @@
 class RelayFixture {
 public:
     static constexpr Milliseconds waitLimit { 10000 };
-    using Outcome = Result<HttpAnswer, HttpFailure>;
+    using Outcome = Result<HttpResponse, HttpFailure>;
 
     RelayFixture()
         : port(static_cast<std::uint16_t>(21000 + getpid() % 300 * 3))
@@ -36,7 +36,7 @@
 
     std::shared_ptr<std::optional<Outcome>> begin(const std::string& address, int portOffset, const std::string& body)
     {
-        HttpCall call;
+        HttpRequest call;
         call.address = address;
         call.port = static_cast<std::uint16_t>(this->port + portOffset);
         call.path = "/control";
--- a/tests/standins/tests/StoreFixture.h
+++ b/tests/standins/tests/StoreFixture.h
@@ -49,14 +49,14 @@
     /// Sends a control message and returns the answer; an empty message requests the counts of calls.
     Json::Value control(const std::string& body)
     {
-        HttpCall call;
+        HttpRequest call;
         call.address = "127.3.0.1";
         call.port = this->port + 1;
         call.path = body.empty() ? "/control/calls" : "/control";
         call.body = body;
         std::optional<std::string> answer;
         this->controlClient.send(call,
-            [&answer](Result<HttpAnswer, HttpFailure> result) { answer = result ? result.value().body : "failed"; });
+            [&answer](Result<HttpResponse, HttpFailure> result) { answer = result ? result.value().body : "failed"; });
         this->loop.runUntil([&answer] { return answer.has_value(); }, waitLimit);
         return parseJsonObject(answer.value_or("")).value();
     }
