--- a/modules/coordinator/tests/FakeWorkers.h
+++ b/modules/coordinator/tests/FakeWorkers.h
@@ -65,7 +65,7 @@
             }
             this->lapses += isDone ? 0 : 1;
             worker.ended.push_back({ worker.nextEnd++, entry->first, entry->second.run,
-                isDone ? EndKind::Done : EndKind::LeaseLapsed, {} });
+                isDone ? EndKind::Done : EndKind::LeaseExpired, {} });
             if (isDone)
                 this->done[entry->first] += 1;
             entry = worker.running.erase(entry);
--- a/modules/jobs/model/EndKind.h
+++ b/modules/jobs/model/EndKind.h
@@ -9,7 +9,7 @@
     Done,
     Failed,
     Stopped,
-    LeaseLapsed,
+    LeaseExpired,
     GangBroken,
     GangIncomplete,
 };
@@ -19,7 +19,7 @@
         { EndKind::Done, "done" },
         { EndKind::Failed, "failed" },
         { EndKind::Stopped, "stopped" },
-        { EndKind::LeaseLapsed, "lease_lapsed" },
+        { EndKind::LeaseExpired, "lease_lapsed" },
         { EndKind::GangBroken, "gang_broken" },
         { EndKind::GangIncomplete, "gang_incomplete" },
     } };
--- a/modules/jobs/systems/AttemptEvent.h
+++ b/modules/jobs/systems/AttemptEvent.h
@@ -12,7 +12,7 @@
     Done,
     Failed,
     Stopped,
-    LeaseLapsed,
+    LeaseExpired,
     GangBroken,
     GangIncomplete,
     /// The worker does not list the attempt, although it did before or should.
@@ -28,7 +28,7 @@
         { AttemptEventKind::Done, "done" },
         { AttemptEventKind::Failed, "failed" },
         { AttemptEventKind::Stopped, "stopped" },
-        { AttemptEventKind::LeaseLapsed, "lease_lapsed" },
+        { AttemptEventKind::LeaseExpired, "lease_lapsed" },
         { AttemptEventKind::GangBroken, "gang_broken" },
         { AttemptEventKind::GangIncomplete, "gang_incomplete" },
         { AttemptEventKind::Lost, "lost" },
--- a/modules/jobs/systems/ReportSystem.cpp
+++ b/modules/jobs/systems/ReportSystem.cpp
@@ -19,8 +19,8 @@
         return AttemptEventKind::Failed;
     case EndKind::Stopped:
         return AttemptEventKind::Stopped;
-    case EndKind::LeaseLapsed:
-        return AttemptEventKind::LeaseLapsed;
+    case EndKind::LeaseExpired:
+        return AttemptEventKind::LeaseExpired;
     case EndKind::GangBroken:
         return AttemptEventKind::GangBroken;
     case EndKind::GangIncomplete:
--- a/tests/measure/requests/BurstMeasurement.cpp
+++ b/tests/measure/requests/BurstMeasurement.cpp
@@ -31,7 +31,7 @@
     std::puts("| order | slots | load | others answered % | others' 99th percentile ms | bursting team answered % | "
               "refused by full endpoints | sends a request |");
     std::puts("| --- | --- | --- | --- | --- | --- | --- | --- |");
-    for (auto order : { ServingOrder::FairShares, ServingOrder::FirstCome }) {
+    for (auto order : { ServingOrder::FairShares, ServingOrder::FirstComeFirstServed }) {
         for (auto slots : { SlotUse::Divided, SlotUse::Undivided }) {
             for (bool isBursting : { false, true }) {
                 auto mean = meanOverSeeds(RequestPolicy { order, slots, LimitSplit::Escrow }, isBursting);
--- a/tests/measure/requests/LimitMeasurement.cpp
+++ b/tests/measure/requests/LimitMeasurement.cpp
@@ -50,7 +50,7 @@
     std::puts("| split | limit | load at one daemon | at all | at all, 1 s to 11 s after one died | 22 s to 27 s after "
               "| load at one, 1 s to 11 s after an idle one died | writes a second, at all |");
     std::puts("| --- | --- | --- | --- | --- | --- | --- | --- |");
-    for (auto split : { LimitSplit::Escrow, LimitSplit::EqualParts }) {
+    for (auto split : { LimitSplit::Escrow, LimitSplit::EqualShares }) {
         for (int limit : { 10, 30, 100 }) {
             auto row = measure(split, limit);
             std::printf("| %s | %d | %.1f | %.1f | %.1f | %.1f | %.1f | %.1f |\n", nameOf(split).data(), limit,
--- a/tests/standins/tests/StoreClientTests.cpp
+++ b/tests/standins/tests/StoreClientTests.cpp
@@ -72,9 +72,9 @@
         [&](auto callback) { this->client.watch({ "members/" }, 1, Milliseconds(8000), callback); });
     BOOST_REQUIRE(deletion.value().entries.size() == 1);
     BOOST_TEST(deletion.value().entries[0].version == 0);
-    BOOST_TEST((this->write({ "members/2", "x", 0, lease }).error().code == StoreErrorCode::LeaseLapsed));
+    BOOST_TEST((this->write({ "members/2", "x", 0, lease }).error().code == StoreErrorCode::LeaseExpired));
     auto renewed = this->await<bool>([&](auto callback) { this->client.renewLease(lease, callback); });
-    BOOST_TEST((renewed.error().code == StoreErrorCode::LeaseLapsed));
+    BOOST_TEST((renewed.error().code == StoreErrorCode::LeaseExpired));
 }
 
 BOOST_AUTO_TEST_CASE(writeWithALostAnswerHasTakenEffect)
