--- a/tests/measure/policy/MeasurePolicy.cpp
+++ b/tests/measure/policy/MeasurePolicy.cpp
@@ -59,7 +59,7 @@
         without("learnt sizes", &PlacementProfile::learnsSizes), without("borrowing", &PlacementProfile::borrows),
         without("urgent preemption", &PlacementProfile::preemptsForUrgent),
         without("share preemption", &PlacementProfile::preemptsForShares),
-        without("setting aside", &PlacementProfile::setsAsideWorkers),
+        without("setting aside", &PlacementProfile::quarantinesWorkers),
         without("tight packing", &PlacementProfile::packsTightly),
         without("share order", &PlacementProfile::ordersByShare),
         without("checkpoint on drain", &PlacementProfile::checkpointsOnDrain) };
--- a/tests/measure/requests/FreshnessMeasurement.cpp
+++ b/tests/measure/requests/FreshnessMeasurement.cpp
@@ -27,7 +27,7 @@
         fleet.start(daemon);
     auto withdrawnAt = Instant::max();
     double last = 0;
-    fleet.onBegin = [&](const RunningWork& work) {
+    fleet.onStart = [&](const RunningWork& work) {
         auto now = fleet.clock.current();
         if (work.team.string() == "t0" && now > withdrawnAt)
             last = std::max(last, std::chrono::duration<double>(now - withdrawnAt).count());
--- a/tests/measure/requests/OrderMeasurement.cpp
+++ b/tests/measure/requests/OrderMeasurement.cpp
@@ -22,14 +22,14 @@
         for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
             auto result = runOrders(withKeys, seed);
             sum.orders += result.orders;
-            sum.begun += result.begun;
-            sum.begunTwice += result.begunTwice;
+            sum.started += result.started;
+            sum.startedTwice += result.startedTwice;
             sum.submissions += result.submissions;
             sum.unknown += result.unknown;
-            sum.untrueNotRun += result.untrueNotRun;
+            sum.falseNotRun += result.falseNotRun;
         }
-        std::printf("| %s | %d | %d | %d | %.1f | %d |\n", withKeys ? "yes" : "no", sum.orders, sum.begunTwice,
-            sum.orders - sum.begun, 100.0 * sum.unknown / sum.submissions, sum.untrueNotRun);
+        std::printf("| %s | %d | %d | %d | %.1f | %d |\n", withKeys ? "yes" : "no", sum.orders, sum.startedTwice,
+            sum.orders - sum.started, 100.0 * sum.unknown / sum.submissions, sum.falseNotRun);
     }
 }
 
--- a/tests/measure/requests/RetryMeasurement.cpp
+++ b/tests/measure/requests/RetryMeasurement.cpp
@@ -22,7 +22,7 @@
         fleet.start(daemon);
     fleet.run(Seconds(8));
     for (int index = 0; index < unresponsiveEndpoints; ++index)
-        fleet.endpoints[static_cast<std::size_t>(index)].silent = true;
+        fleet.endpoints[static_cast<std::size_t>(index)].unresponsive = true;
     double rate = loadFraction * endpointCount * 8 / 0.2;
     double dueRequests = 0;
     for (int step = 0; step < 3000; ++step) {
