--- a/tests/fuzz/targets/admin.cpp
+++ b/tests/fuzz/targets/admin.cpp
@@ -30,6 +30,6 @@
     requireStableEncoding(text, StatusCodec::encode, StatusCodec::decode);
     auto submission = AdminCodec::decodeSubmission(text);
     if (submission.has_value())
-        DocumentAcceptance::judge({}, {}, submission.value(), 0);
+        DocumentAcceptance::evaluate({}, {}, submission.value(), 0);
     return 0;
 }
--- a/tests/fuzz/targets/document.cpp
+++ b/tests/fuzz/targets/document.cpp
@@ -9,8 +9,8 @@
 {
     auto text = inputText(data, size);
     auto parsed = DocumentParser().parse(text);
-    auto blocks = divideIntoBlocks(text);
-    requireProperty(joinBlocks(divideIntoBlocks(joinBlocks(blocks))) == joinBlocks(blocks));
+    auto blocks = splitIntoBlocks(text);
+    requireProperty(joinBlocks(splitIntoBlocks(joinBlocks(blocks))) == joinBlocks(blocks));
     requireProperty(DocumentDiff::compare(text, text).empty());
     requireProperty(SectionMerge::merge(text, text, "[team other]\n").conflicts.empty());
     if (parsed.has_error()) {
