--- a/modules/cli/tests/FakeDaemon.cpp
+++ b/modules/cli/tests/FakeDaemon.cpp
@@ -71,7 +71,7 @@
         this->fleet.submissionFaults.pop_front();
     }
     if (fault == SubmissionFault::RequestLost)
-        return HttpReplies::closeSilently(this->loop, request);
+        return HttpReplies::closeWithoutAnswer(this->loop, request);
     if (fault == SubmissionFault::NotAccepted)
         return HttpReplies::text(request, 503, R"({"outcome":"not_accepted"})");
     auto submission = AdminCodec::decodeSubmission(HttpReplies::body(request));
@@ -83,7 +83,7 @@
         accept(this->fleet, { "edit", "ivo", this->fleet.record.revision, text + "max_unavailable = 3\n" });
     }
     if (fault == SubmissionFault::AnswerLost || fault == SubmissionFault::AnswerLostThenEdited)
-        return HttpReplies::closeSilently(this->loop, request);
+        return HttpReplies::closeWithoutAnswer(this->loop, request);
     if (fault == SubmissionFault::Unknown)
         return HttpReplies::text(request, 503, R"({"outcome":"unknown"})");
     if (const auto* conflicts = std::get_if<SectionConflicts>(&outcome))
@@ -139,7 +139,7 @@
         return HttpReplies::text(request, 404, R"({"outcome":"unknown_wave"})");
     this->fleet.waveCommands.push_back(path.substr(path.rfind('/') + 1));
     if (std::exchange(this->fleet.loseNextWaveAnswer, false))
-        return HttpReplies::closeSilently(this->loop, request);
+        return HttpReplies::closeWithoutAnswer(this->loop, request);
     HttpReplies::text(request, 200, R"({"outcome":"accepted"})");
 }
 
--- a/tests/checker/AnswerEvent.h
+++ b/tests/checker/AnswerEvent.h
@@ -8,7 +8,7 @@
 namespace Greengage {
 
 /// The outcome of one attempt as its caller observed it.
-enum class SeenOutcome {
+enum class ObservedOutcome {
     Answered,
     NotRun,
     Unknown,
@@ -18,20 +18,20 @@
     NotSent,
 };
 
-template <> struct EnumNames<SeenOutcome> {
-    static constexpr std::array<std::pair<SeenOutcome, std::string_view>, 5> table { {
-        { SeenOutcome::Answered, "answered" },
-        { SeenOutcome::NotRun, "not_run" },
-        { SeenOutcome::Unknown, "unknown" },
-        { SeenOutcome::Broken, "broken" },
-        { SeenOutcome::NotSent, "not_sent" },
+template <> struct EnumNames<ObservedOutcome> {
+    static constexpr std::array<std::pair<ObservedOutcome, std::string_view>, 5> table { {
+        { ObservedOutcome::Answered, "answered" },
+        { ObservedOutcome::NotRun, "not_run" },
+        { ObservedOutcome::Unknown, "unknown" },
+        { ObservedOutcome::Broken, "broken" },
+        { ObservedOutcome::NotSent, "not_sent" },
     } };
 };
 
 /// The end of one attempt, recorded as "event=answer".
 struct AnswerEvent {
     std::string call;
-    SeenOutcome outcome = SeenOutcome::Broken;
+    ObservedOutcome outcome = ObservedOutcome::Broken;
     /// The request id that the daemon returned; empty if there was none.
     std::string request;
     /// For Answered: whether the body was complete and belonged to this attempt.
--- a/tests/checker/HistoryChecker.cpp
+++ b/tests/checker/HistoryChecker.cpp
@@ -45,20 +45,20 @@
 
 void HistoryChecker::classifySubmission(const std::string& submission, const Attempts& attempts)
 {
-    std::set<SeenOutcome> seen;
+    std::set<ObservedOutcome> observed;
     bool unanswered = false;
     for (const auto* attempt : attempts) {
         auto found = this->answersByCall.find(attempt->call);
         if (found == this->answersByCall.end())
             unanswered = true;
         else
-            seen.insert(found->second->outcome);
+            observed.insert(found->second->outcome);
     }
-    bool broken = seen.contains(SeenOutcome::Broken);
-    bool refused = seen.contains(SeenOutcome::NotRun) || seen.contains(SeenOutcome::NotSent);
-    if (seen.contains(SeenOutcome::Answered))
+    bool broken = observed.contains(ObservedOutcome::Broken);
+    bool refused = observed.contains(ObservedOutcome::NotRun) || observed.contains(ObservedOutcome::NotSent);
+    if (observed.contains(ObservedOutcome::Answered))
         ++this->verdict.answered;
-    else if (!unanswered && (seen.contains(SeenOutcome::Unknown) || (broken && refused)))
+    else if (!unanswered && (observed.contains(ObservedOutcome::Unknown) || (broken && refused)))
         ++this->verdict.unknown;
     else if (!unanswered && !broken)
         ++this->verdict.notRun;
@@ -75,11 +75,11 @@
         startedRequests.insert(start->request);
     }
     for (const auto& answer : this->history.answers) {
-        if (answer.outcome == SeenOutcome::Answered && !answer.whole)
+        if (answer.outcome == ObservedOutcome::Answered && !answer.whole)
             this->verdict.add(HistoryViolation::CorruptAnswer, "call=" + answer.call);
-        if (answer.outcome == SeenOutcome::Broken)
+        if (answer.outcome == ObservedOutcome::Broken)
             ++this->verdict.brokenAttempts;
-        bool refused = answer.outcome == SeenOutcome::NotRun || answer.outcome == SeenOutcome::NotSent;
+        bool refused = answer.outcome == ObservedOutcome::NotRun || answer.outcome == ObservedOutcome::NotSent;
         bool started = startedCalls.contains(answer.call)
             || (!answer.request.empty() && startedRequests.contains(answer.request));
         if (refused && started)
--- a/tests/checker/HistoryReader.cpp
+++ b/tests/checker/HistoryReader.cpp
@@ -53,7 +53,7 @@
 
 bool HistoryReader::addAnswer(const KeyValueLine& line, Instant at)
 {
-    auto outcome = enumFromName<SeenOutcome>(line.text("outcome"));
+    auto outcome = enumFromName<ObservedOutcome>(line.text("outcome"));
     const auto& whole = line.text("whole");
     if (!outcome || line.text("call").empty() || (whole != "true" && whole != "false"))
         return false;
--- a/tests/daemon/ClaimTests.cpp
+++ b/tests/daemon/ClaimTests.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 struct ClaimFleet : RunningFleet {
-    HttpTalkReply submitOrder(int number, const std::string& key, const std::string& name)
+    HttpReply submitOrder(int number, const std::string& key, const std::string& name)
     {
         return this->call(
             number, "pallets", { this->bearer, "Idempotency-Key: " + key }, "call=" + name + " run_ms=20\n");
@@ -28,7 +28,7 @@
 BOOST_AUTO_TEST_CASE(retryThroughAnotherDaemonDoesNotRunAgain)
 {
     BOOST_TEST(this->submitOrder(1, "k1", "pallet").status == 200);
-    HttpTalkReply again = this->submitOrder(2, "k1", "pallet");
+    HttpReply again = this->submitOrder(2, "k1", "pallet");
     BOOST_TEST(again.status == 409, again.body);
     BOOST_TEST(again.headHas("Greengage-Reason: duplicate_request"));
     BOOST_TEST(this->startCount("pallet") == 1);
@@ -38,7 +38,7 @@
 BOOST_AUTO_TEST_CASE(claimWhoseAnswerWasLostIsStillOwned)
 {
     this->setStoreFault("loseWriteAnswers", 1);
-    HttpTalkReply reply = this->submitOrder(1, "k1", "pallet");
+    HttpReply reply = this->submitOrder(1, "k1", "pallet");
     BOOST_TEST(reply.status == 200, reply.body);
     BOOST_TEST(this->submitOrder(2, "k1", "pallet").status == 409);
     BOOST_TEST(this->startCount("pallet") == 1);
@@ -49,7 +49,7 @@
     // This request gives the daemon an allotment of the team's limit, so that in the outage only the claim is missing.
     BOOST_REQUIRE(this->submitOrder(1, "k0", "warm").status == 200);
     this->setStoreFault("outage", "refuse");
-    HttpTalkReply reply = this->call(
+    HttpReply reply = this->call(
         1, "pallets", { this->bearer, "Idempotency-Key: k1", "Greengage-Timeout-Ms: 2000" }, "call=pallet run_ms=20\n");
     BOOST_TEST(reply.status == 503, reply.body);
     BOOST_TEST(reply.headHas("Greengage-Outcome: not_run"));
--- a/tests/daemon/FleetFixture.cpp
+++ b/tests/daemon/FleetFixture.cpp
@@ -67,8 +67,8 @@
     }
     this->minion = std::make_unique<ChildProcess>(program("standin-minion"), arguments, this->path("minion.log"));
     awaitTrue("store and endpoints listen", [this] {
-        return talkHttp(storeAddress, this->basePort + 4, "GET", "/control/calls").status == 200
-            && talkHttp(storeAddress, this->basePort + 6, "GET", "/control/state").status == 200;
+        return sendHttpRequest(storeAddress, this->basePort + 4, "GET", "/control/calls").status == 200
+            && sendHttpRequest(storeAddress, this->basePort + 6, "GET", "/control/state").status == 200;
     });
     this->listVms();
 }
@@ -120,40 +120,42 @@
         std::vector<std::string> { "--settings", this->writeSettings(number) },
         this->path("daemon-" + std::to_string(number) + ".log"));
     awaitTrue("daemon listens", [this, number] {
-        return talkHttp(this->daemonAddress(number), this->callersPort(), "GET", "/healthz").status != 0;
+        return sendHttpRequest(this->daemonAddress(number), this->callersPort(), "GET", "/healthz").status != 0;
     });
 }
 
-HttpTalkReply FleetFixture::submit(int number, const std::string& changeId, int baseRevision, const std::string& text)
+HttpReply FleetFixture::submit(int number, const std::string& changeId, int baseRevision, const std::string& text)
 {
     Json::Value submission(Json::objectValue);
     submission["changeId"] = changeId;
     submission["author"] = "tester";
     submission["baseRevision"] = baseRevision;
     submission["text"] = text;
-    return talkHttp(this->daemonAddress(number), this->adminPort(), "POST", "/v1/document",
+    return sendHttpRequest(this->daemonAddress(number), this->adminPort(), "POST", "/v1/document",
         { "Authorization: Bearer operator" }, writeJson(submission));
 }
 
-HttpTalkReply FleetFixture::call(
+HttpReply FleetFixture::call(
     int number, const std::string& queue, const std::vector<std::string>& headers, const std::string& body)
 {
-    return talkHttp(this->daemonAddress(number), this->callersPort(), "POST", "/v1/queues/" + queue, headers, body);
+    return sendHttpRequest(
+        this->daemonAddress(number), this->callersPort(), "POST", "/v1/queues/" + queue, headers, body);
 }
 
-HttpTalkReply FleetFixture::admin(int number, const std::string& path)
+HttpReply FleetFixture::admin(int number, const std::string& path)
 {
-    return talkHttp(this->daemonAddress(number), this->adminPort(), "GET", path, { "Authorization: Bearer operator" });
+    return sendHttpRequest(
+        this->daemonAddress(number), this->adminPort(), "GET", path, { "Authorization: Bearer operator" });
 }
 
-HttpTalkReply FleetFixture::control(const Json::Value& storeFaults)
+HttpReply FleetFixture::control(const Json::Value& storeFaults)
 {
-    return talkHttp(storeAddress, this->basePort + 4, "POST", "/control", {}, writeJson(storeFaults));
+    return sendHttpRequest(storeAddress, this->basePort + 4, "POST", "/control", {}, writeJson(storeFaults));
 }
 
 Json::Value FleetFixture::storeCalls()
 {
-    auto parsed = parseJson(talkHttp(storeAddress, this->basePort + 4, "GET", "/control/calls").body);
+    auto parsed = parseJson(sendHttpRequest(storeAddress, this->basePort + 4, "GET", "/control/calls").body);
     BOOST_REQUIRE(parsed.has_value());
     return parsed.value();
 }
@@ -170,7 +172,7 @@
 void FleetFixture::awaitHealthy(int number)
 {
     awaitTrue("daemon serves", [this, number] {
-        return talkHttp(this->daemonAddress(number), this->callersPort(), "GET", "/healthz").status == 200;
+        return sendHttpRequest(this->daemonAddress(number), this->callersPort(), "GET", "/healthz").status == 200;
     });
 }
 
--- a/tests/daemon/FleetFixture.h
+++ b/tests/daemon/FleetFixture.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <support/ChildProcess.h>
-#include <support/HttpTalk.h>
+#include <support/RawHttpRequest.h>
 
 #include <cstdint>
 #include <functional>
@@ -25,14 +25,14 @@
     std::string daemonAddress(int number) const { return "127.1." + std::to_string(number) + ".1"; }
 
     /// Submits a document text through a daemon and returns the response.
-    HttpTalkReply submit(int number, const std::string& changeId, int baseRevision, const std::string& text);
+    HttpReply submit(int number, const std::string& changeId, int baseRevision, const std::string& text);
     /// Sends a request to a queue as a caller.
-    HttpTalkReply call(
+    HttpReply call(
         int number, const std::string& queue, const std::vector<std::string>& headers, const std::string& body);
     /// Reads a page from a daemon's admin port.
-    HttpTalkReply admin(int number, const std::string& path);
+    HttpReply admin(int number, const std::string& path);
     /// Sets faults and VMs of the store stand-in.
-    HttpTalkReply control(const Json::Value& storeFaults);
+    HttpReply control(const Json::Value& storeFaults);
     /// The calls that the store stand-in has counted.
     Json::Value storeCalls();
     /// The number of store calls whose name ends with `kind`.
--- a/tests/daemon/RunningFleet.cpp
+++ b/tests/daemon/RunningFleet.cpp
@@ -12,7 +12,7 @@
         return this->admin(1, "/v1/status").body.find("\"d2\"") != std::string::npos
             && this->admin(2, "/v1/status").body.find("\"d1\"") != std::string::npos;
     });
-    HttpTalkReply accepted = this->submit(1, "first", 0, this->documentText());
+    HttpReply accepted = this->submit(1, "first", 0, this->documentText());
     BOOST_REQUIRE_MESSAGE(accepted.status == 200, accepted.body);
     BOOST_TEST(accepted.body.find("\"inForce\":true") != std::string::npos, accepted.body);
     this->awaitServing(1);
--- a/tests/daemon/WaveTests.cpp
+++ b/tests/daemon/WaveTests.cpp
@@ -11,9 +11,9 @@
 namespace {
 
 struct WaveFleet : RunningFleet {
-    HttpTalkReply wave(int number, const std::string& action)
+    HttpReply wave(int number, const std::string& action)
     {
-        return talkHttp(this->daemonAddress(number), this->adminPort(), "POST", "/v1/waves/" + action,
+        return sendHttpRequest(this->daemonAddress(number), this->adminPort(), "POST", "/v1/waves/" + action,
             { "Authorization: Bearer operator" }, "{}");
     }
 
@@ -36,7 +36,7 @@
         while (!done)
             (this->call(2, "orders", { this->bearer }, "call=w run_ms=20\n").status == 200 ? answered : failed) += 1;
     });
-    HttpTalkReply started = this->wave(1, "kernel/start");
+    HttpReply started = this->wave(1, "kernel/start");
     BOOST_TEST(started.status == 200, started.body);
     FleetFixture::awaitTrue(
         "the wave is done", [this] { return this->statusHas(2, R"("state":"done","stuck":[],"wave":"kernel")"); });
@@ -80,7 +80,7 @@
 
 BOOST_AUTO_TEST_CASE(planNamesEveryVm)
 {
-    HttpTalkReply plan = this->admin(1, "/v1/waves/kernel/plan");
+    HttpReply plan = this->admin(1, "/v1/waves/kernel/plan");
     BOOST_TEST(plan.status == 200, plan.body);
     for (const char* vm : { "vm0", "vm1", "vm2", "vm3" })
         BOOST_TEST(plan.body.find(vm) != std::string::npos, plan.body);
--- a/tests/daemon/WholePathTests.cpp
+++ b/tests/daemon/WholePathTests.cpp
@@ -21,7 +21,7 @@
 BOOST_AUTO_TEST_CASE(requestIsAnsweredThroughEveryDaemon)
 {
     for (int number : { 1, 2 }) {
-        HttpTalkReply reply = this->call(number, "orders", { this->bearer }, work);
+        HttpReply reply = this->call(number, "orders", { this->bearer }, work);
         BOOST_TEST(reply.status == 200, reply.body);
         BOOST_TEST(reply.headHas("Greengage-Outcome: answered"));
         BOOST_TEST(reply.body.size() == 200U);
@@ -31,25 +31,25 @@
 
 BOOST_AUTO_TEST_CASE(requestsWithoutAValidKeyAreNotRun)
 {
-    HttpTalkReply missing = this->call(1, "orders", {}, work);
+    HttpReply missing = this->call(1, "orders", {}, work);
     BOOST_TEST(missing.status == 401);
     BOOST_TEST(missing.headHas("Greengage-Reason: key_missing"));
-    HttpTalkReply wrong = this->call(2, "orders", { "Authorization: Bearer booking.wrong" }, work);
+    HttpReply wrong = this->call(2, "orders", { "Authorization: Bearer booking.wrong" }, work);
     BOOST_TEST(wrong.status == 401);
     BOOST_TEST(wrong.headHas("Greengage-Outcome: not_run"));
     BOOST_TEST(this->call(1, "unknown", { this->bearer }, work).status == 404);
     BOOST_TEST(this->startCount("order") == 0);
-    BOOST_TEST(talkHttp(this->daemonAddress(1), this->adminPort(), "GET", "/v1/status").status == 401);
+    BOOST_TEST(sendHttpRequest(this->daemonAddress(1), this->adminPort(), "GET", "/v1/status").status == 401);
 }
 
 BOOST_AUTO_TEST_CASE(withdrawnKeyIsRefusedByEveryDaemonOnceTheChangeIsInForce)
 {
-    HttpTalkReply accepted = this->submit(1, "second", 1, this->documentText(false));
+    HttpReply accepted = this->submit(1, "second", 1, this->documentText(false));
     BOOST_REQUIRE(accepted.status == 200);
     BOOST_TEST(accepted.body.find("\"inForce\":true") != std::string::npos, accepted.body);
     for (int number : { 1, 2 })
         BOOST_TEST(this->call(number, "orders", { this->bearer }, work).status == 401);
-    HttpTalkReply again = this->submit(2, "second", 1, this->documentText(false));
+    HttpReply again = this->submit(2, "second", 1, this->documentText(false));
     BOOST_TEST(again.status == 200);
     BOOST_TEST(again.body.find("\"revision\":2") != std::string::npos, again.body);
 }
@@ -59,14 +59,14 @@
     Json::Value faults(Json::objectValue);
     faults["loseWriteAnswers"] = 2;
     this->control(faults);
-    HttpTalkReply accepted = this->submit(1, "second", 1, this->documentText(false));
+    HttpReply accepted = this->submit(1, "second", 1, this->documentText(false));
     BOOST_TEST(accepted.status == 200, accepted.body);
     BOOST_TEST(accepted.body.find("\"revision\":2") != std::string::npos, accepted.body);
 }
 
 BOOST_AUTO_TEST_CASE(sigtermFinishesAcceptedWorkAndStopsTheProcess)
 {
-    HttpTalkReply reply;
+    HttpReply reply;
     std::thread caller(
         [&] { reply = this->call(1, "orders", { this->bearer }, "call=long run_ms=1500 answer_bytes=64\n"); });
     FleetFixture::awaitTrue("the work has begun", [this] { return this->startCount("long") == 1; });
@@ -90,7 +90,7 @@
     std::thread caller([&] {
         for (int round = 0; !done; ++round) {
             std::string name = "roll" + std::to_string(round);
-            HttpTalkReply reply;
+            HttpReply reply;
             // Like the load balancer, sends a request that was not run to the other daemon.
             for (int number = 1 + round % 2; reply.status != 200 && !done; number = 3 - number) {
                 reply = this->call(number, "orders", { this->bearer }, "call=" + name + " run_ms=30 answer_bytes=64\n");
@@ -123,7 +123,7 @@
     this->call(1, "orders", { this->bearer }, work);
     this->call(1, "orders", {}, work);
     this->call(1, "made-up-name", {}, work);
-    HttpTalkReply page = talkHttp(this->daemonAddress(1), this->callersPort(), "GET", "/metrics");
+    HttpReply page = sendHttpRequest(this->daemonAddress(1), this->callersPort(), "GET", "/metrics");
     BOOST_TEST(page.status == 200);
     for (const char* line :
         { R"(greengage_requests_total{queue="orders",team="booking",outcome="answered",reason="none"} 1)",
@@ -132,7 +132,7 @@
             "process_resident_memory_bytes" })
         BOOST_TEST(page.body.find(line) != std::string::npos, line);
     BOOST_TEST(page.body.find("made-up-name") == std::string::npos);
-    HttpTalkReply burn = this->admin(1, "/v1/burn");
+    HttpReply burn = this->admin(1, "/v1/burn");
     BOOST_TEST(burn.body.find("\"team\":\"booking\"") != std::string::npos, burn.body);
 }
 
--- a/tests/measure/daemon/IdleMeasurement.cpp
+++ b/tests/measure/daemon/IdleMeasurement.cpp
@@ -53,12 +53,12 @@
 std::vector<std::string> readPages(Site& site)
 {
     std::vector<std::string> pages;
-    for (const DaemonPlace& daemon : site.layout().daemons()) {
+    for (const DaemonLocation& daemon : site.layout().daemons()) {
         HttpRequest call;
         call.address = daemon.address;
         call.port = site.layout().callerPort();
         call.path = "/metrics";
-        auto answer = site.tool().send(call);
+        auto answer = site.http().send(call);
         if (!answer.has_value())
             throw std::runtime_error("cannot read /metrics of daemon " + daemon.name);
         pages.push_back(answer.value().body);
@@ -94,10 +94,10 @@
     site.startDaemons();
     site.applyDocument();
     auto never = [] { return false; };
-    site.tool().waitUntil(never, settleTime);
+    site.http().waitUntil(never, settleTime);
     Instant windowBegin = BootClock::now();
     auto before = readPages(site);
-    site.tool().waitUntil(never, window);
+    site.http().waitUntil(never, window);
     auto after = readPages(site);
     double seconds = std::chrono::duration<double>(BootClock::now() - windowBegin).count();
     IdleCost cost;
--- a/tests/proofs-config/ConfigurationTests.cpp
+++ b/tests/proofs-config/ConfigurationTests.cpp
@@ -63,7 +63,7 @@
             }
             return std::ranges::all_of(this->operators, [](const auto& one) { return one->isDone(); });
         };
-        BOOST_REQUIRE(this->tool().waitUntil(allDone, operatorsTimeout));
+        BOOST_REQUIRE(this->http().waitUntil(allDone, operatorsTimeout));
     }
 
     /// Waits until all daemons have applied the same revision, and returns its record.
@@ -79,7 +79,7 @@
             }
             return record.revision > 0;
         };
-        BOOST_TEST(this->tool().waitUntil(allAgree, inForceBound));
+        BOOST_TEST(this->http().waitUntil(allAgree, inForceBound));
         return record;
     }
 
@@ -169,7 +169,7 @@
         call.path = "/v1/queues/quotes";
         call.body = "work";
         call.headers.push_back({ "Authorization", "Bearer " + SiteDocument::bearer("booking") });
-        auto outcome = this->tool().send(call);
+        auto outcome = this->http().send(call);
         return outcome.has_value() ? std::string(outcome.value().header("Greengage-Outcome")) : outcome.error().detail;
     }
 
@@ -219,16 +219,16 @@
     CtlRun first(site, "first.out", { 0 }, { "--json", "apply", site.file("first.ini"), "--author", "first" });
     // One write stores the text in the history, the other the document record.
     auto isWritten = [&] { return StoreCalls::read(site).since(before).count("write") == 2; };
-    BOOST_REQUIRE(site.tool().waitUntil(isWritten, inForceBound));
+    BOOST_REQUIRE(site.http().waitUntil(isWritten, inForceBound));
     site.daemon(0).signal(SIGKILL);
     BOOST_REQUIRE(site.daemon(0).wait(inForceBound).has_value());
     settings["delayMs"] = 0;
     site.controlStore(settings);
-    BOOST_REQUIRE(site.tool().waitUntil([&] { return site.monitor.revisionOf(1) == 2U; }, inForceBound));
+    BOOST_REQUIRE(site.http().waitUntil([&] { return site.monitor.revisionOf(1) == 2U; }, inForceBound));
     site.writeCopy("second.ini", "op-1", 7);
     BOOST_TEST(CtlRun::runToEnd(site, "second.out", { "apply", site.file("second.ini"), "--author", "second" }) == 0);
     site.startDaemon(0);
-    BOOST_REQUIRE(site.tool().waitUntil([&] { return first.exitCode().has_value(); }, operatorsTimeout));
+    BOOST_REQUIRE(site.http().waitUntil([&] { return first.exitCode().has_value(); }, operatorsTimeout));
     BOOST_TEST((first.exitCode() == 0));
     auto answer = AdminCodec::decodeAnswer(first.output());
     BOOST_REQUIRE_MESSAGE(answer.has_value(), first.output());
@@ -276,7 +276,7 @@
         site.monitor.poll();
         return site.monitor.revisionOf(5) == revision;
     };
-    BOOST_TEST(site.tool().waitUntil(hasNewest, inForceBound));
+    BOOST_TEST(site.http().waitUntil(hasNewest, inForceBound));
     BOOST_TEST(site.monitor.recordOf(5).text == site.document().text());
     BOOST_TEST(site.monitor.violations().empty());
 }
@@ -309,7 +309,7 @@
 {
     ConfigurationSite site;
     auto isAnswered = [&] { return site.submitAtLastDaemon() == "answered"; };
-    BOOST_REQUIRE(site.tool().waitUntil(isAnswered, inForceBound));
+    BOOST_REQUIRE(site.http().waitUntil(isAnswered, inForceBound));
     site.daemon(6).signal(SIGSTOP);
     site.document().withdrawKey("booking-1");
     site.applyDocument();
@@ -321,7 +321,7 @@
 {
     ConfigurationSite site(true);
     auto isAnswered = [&] { return site.submitAtLastDaemon() == "answered"; };
-    BOOST_REQUIRE(site.tool().waitUntil(isAnswered, inForceBound));
+    BOOST_REQUIRE(site.http().waitUntil(isAnswered, inForceBound));
     site.isolateLastDaemon();
     BOOST_TEST(isAnswered());
     site.document().withdrawKey("booking-1");
@@ -339,7 +339,7 @@
     ConfigurationSite site;
     auto before = StoreCalls::read(site);
     auto idleEnd = Deadline::after(BootClock::now(), Seconds(idleSeconds));
-    BOOST_REQUIRE(site.tool().waitUntil([&] { return idleEnd.hasPassed(BootClock::now()); }, Seconds(2 * idleSeconds)));
+    BOOST_REQUIRE(site.http().waitUntil([&] { return idleEnd.hasPassed(BootClock::now()); }, Seconds(2 * idleSeconds)));
     auto whenIdle = StoreCalls::read(site).since(before);
     before = StoreCalls::read(site);
     auto begin = BootClock::now();
--- a/tests/proofs-config/CtlRun.cpp
+++ b/tests/proofs-config/CtlRun.cpp
@@ -31,8 +31,9 @@
     std::filesystem::remove(this->path);
     std::vector<std::string> command { std::string(BINARY_ROOT) + "/bin/greengagectl", "--key-file", keyFile(site) };
     for (auto index : daemons) {
-        const auto& place = site.layout().daemons().at(index);
-        command.insert(command.end(), { "--daemon", fmt::format("{}:{}", place.address, site.layout().adminPort()) });
+        const auto& location = site.layout().daemons().at(index);
+        command.insert(
+            command.end(), { "--daemon", fmt::format("{}:{}", location.address, site.layout().adminPort()) });
     }
     command.insert(command.end(), arguments.begin(), arguments.end());
     this->process = std::make_unique<ChildProcess>(std::move(command), this->path);
--- a/tests/proofs-config/RevisionMonitor.cpp
+++ b/tests/proofs-config/RevisionMonitor.cpp
@@ -30,7 +30,7 @@
     call.path = path;
     call.headers.push_back({ "Authorization", "Bearer operator-key" });
     call.timeout = fetchTimeout;
-    auto outcome = this->site.tool().send(call);
+    auto outcome = this->site.http().send(call);
     if (!outcome.has_value() || outcome.value().status != 200)
         return std::nullopt;
     return outcome.value().body;
--- a/tests/proofs-config/StoreCalls.cpp
+++ b/tests/proofs-config/StoreCalls.cpp
@@ -14,7 +14,7 @@
 {
     StoreCalls calls;
     auto json
-        = site.tool().get(SiteLayout::storeAddress(), site.layout().storeControlPort(), "/control/calls")["calls"];
+        = site.http().get(SiteLayout::storeAddress(), site.layout().storeControlPort(), "/control/calls")["calls"];
     for (const auto& kind : json.getMemberNames())
         calls.counts[kind] = json[kind].asUInt64();
     return calls;
--- a/tests/proofs/LeavingTests.cpp
+++ b/tests/proofs/LeavingTests.cpp
@@ -41,7 +41,7 @@
         BOOST_TEST((proof.site.daemon(index).wait(Site::waitLimit) == 0), "daemon " << index);
         proof.site.startDaemon(index);
         auto serves = [&] { return proof.site.answersHealth(index); };
-        BOOST_TEST(proof.site.tool().waitUntil(serves, Site::waitLimit), "daemon " << index);
+        BOOST_TEST(proof.site.http().waitUntil(serves, Site::waitLimit), "daemon " << index);
     }
     BOOST_TEST(!callers.exitStatus().has_value(), "callers ended before the last daemon was replaced");
     auto verdict = proof.requireClean();
--- a/tests/proofs/ProofSite.h
+++ b/tests/proofs/ProofSite.h
@@ -58,7 +58,7 @@
         auto history = this->site.history();
         std::set<std::string> answeredCalls;
         for (const auto& answer : history.answers) {
-            if (answer.outcome == SeenOutcome::Answered)
+            if (answer.outcome == ObservedOutcome::Answered)
                 answeredCalls.insert(answer.call);
         }
         std::map<std::string, bool> answered;
--- a/tests/site/DaemonPlace.h
+++ b/tests/site/DaemonLocation.h
@@ -5,7 +5,7 @@
 namespace Greengage {
 
 /// Name, address and availability zone of a daemon of a test site.
-struct DaemonPlace {
+struct DaemonLocation {
     std::string name;
     std::string address;
     int zone = 1;
--- a/tests/site/EndpointPlace.h
+++ b/tests/site/EndpointLocation.h
@@ -5,7 +5,7 @@
 namespace Greengage {
 
 /// VM, service, address, rack and availability zone of an endpoint of a test site.
-struct EndpointPlace {
+struct EndpointLocation {
     std::string vm;
     std::string service;
     std::string address;
--- a/tests/site/Site.cpp
+++ b/tests/site/Site.cpp
@@ -21,9 +21,9 @@
 
 constexpr std::string_view historySuffix = ".history";
 
-std::string endpointOption(const EndpointPlace& place, std::uint16_t port)
+std::string endpointOption(const EndpointLocation& location, std::uint16_t port)
 {
-    return fmt::format("{}={}:{}", place.vm, place.address, port);
+    return fmt::format("{}={}:{}", location.vm, location.address, port);
 }
 
 std::string routeOption(const std::string& address, std::uint16_t from, std::uint16_t to)
@@ -44,8 +44,8 @@
     std::filesystem::create_directories(this->folder);
     this->operatorHistory = std::make_unique<HistoryFile>(this->file("operators.history"));
     this->daemons.resize(this->siteLayout.daemons().size());
-    for (const auto& place : this->siteLayout.endpoints())
-        this->vmStates[place.vm] = "live";
+    for (const auto& location : this->siteLayout.endpoints())
+        this->vmStates[location.vm] = "live";
 }
 
 Site::~Site()
@@ -88,9 +88,9 @@
     std::vector<std::string> command { "standin-minion", "--control-port",
         std::to_string(this->siteLayout.minionControlPort()), "--history", this->file("endpoints.history"), "--run-ms",
         std::to_string(this->plan.runMilliseconds) };
-    for (const auto& place : this->siteLayout.endpoints()) {
+    for (const auto& location : this->siteLayout.endpoints()) {
         command.emplace_back("--endpoint");
-        command.push_back(endpointOption(place, this->siteLayout.endpointPort()));
+        command.push_back(endpointOption(location, this->siteLayout.endpointPort()));
     }
     this->endpoints = this->start("endpoints", command);
 }
@@ -104,10 +104,10 @@
         command.push_back(routeOption(address, from, to));
     };
     add(SiteLayout::storeAddress(), this->siteLayout.relayedStorePort(), this->siteLayout.storePort());
-    for (const auto& place : this->siteLayout.daemons())
-        add(place.address, this->siteLayout.relayedMeshPort(), this->siteLayout.meshPort());
-    for (const auto& place : this->siteLayout.endpoints())
-        add(place.address, this->siteLayout.relayedEndpointPort(), this->siteLayout.endpointPort());
+    for (const auto& location : this->siteLayout.daemons())
+        add(location.address, this->siteLayout.relayedMeshPort(), this->siteLayout.meshPort());
+    for (const auto& location : this->siteLayout.endpoints())
+        add(location.address, this->siteLayout.relayedEndpointPort(), this->siteLayout.endpointPort());
     this->relay = this->start("relay", command);
 }
 
@@ -118,14 +118,14 @@
         call.address = SiteLayout::storeAddress();
         call.port = port;
         call.path = path;
-        return this->http.send(call).has_value();
+        return this->httpClient.send(call).has_value();
     };
     auto allAnswer = [&] {
         return answers(this->siteLayout.storeControlPort(), "/control/calls")
             && answers(this->siteLayout.minionControlPort(), "/control/state")
             && (!this->relay || answers(this->siteLayout.relayControlPort(), "/control/state"));
     };
-    if (!this->http.waitUntil(allAnswer, Site::waitLimit))
+    if (!this->httpClient.waitUntil(allAnswer, Site::waitLimit))
         throw std::runtime_error("stand-ins have not answered in time; see the logs in " + this->folder.string());
 }
 
@@ -133,14 +133,14 @@
 {
     Json::Value settings;
     settings["vms"] = Json::arrayValue;
-    for (const auto& place : this->siteLayout.endpoints()) {
+    for (const auto& location : this->siteLayout.endpoints()) {
         Json::Value vm;
-        vm["id"] = place.vm;
-        vm["address"] = place.address;
+        vm["id"] = location.vm;
+        vm["address"] = location.address;
         vm["port"] = this->plan.relayed ? this->siteLayout.relayedEndpointPort() : this->siteLayout.endpointPort();
-        vm["zone"] = "zone-" + std::to_string(place.zone);
-        vm["rack"] = place.rack;
-        vm["state"] = this->vmStates[place.vm];
+        vm["zone"] = "zone-" + std::to_string(location.zone);
+        vm["rack"] = location.rack;
+        vm["state"] = this->vmStates[location.vm];
         settings["vms"].append(vm);
     }
     this->controlStore(settings);
@@ -164,8 +164,8 @@
     for (std::size_t index = 0; index < this->daemons.size(); ++index)
         this->startDaemon(index);
     for (std::size_t index = 0; index < this->daemons.size(); ++index) {
-        auto answersAdmin = [&] { return this->http.send(this->adminCall(index, "/v1/status")).has_value(); };
-        if (!this->http.waitUntil(answersAdmin, Site::waitLimit))
+        auto answersAdmin = [&] { return this->httpClient.send(this->adminCall(index, "/v1/status")).has_value(); };
+        if (!this->httpClient.waitUntil(answersAdmin, Site::waitLimit))
             throw std::runtime_error(this->siteLayout.daemons()[index].name
                 + " has not answered in time; see the logs in " + this->folder.string());
     }
@@ -177,7 +177,7 @@
     call.address = this->siteLayout.daemons()[index].address;
     call.port = this->siteLayout.callerPort();
     call.path = "/healthz";
-    auto outcome = this->http.send(call);
+    auto outcome = this->httpClient.send(call);
     return outcome && outcome.value().status == 200;
 }
 
@@ -199,17 +199,17 @@
     this->recordLimits(false);
     this->recordWithdrawals();
     auto isInForce = [&] {
-        auto status = this->http.send(this->adminCall(daemonIndex, "/v1/status"));
+        auto status = this->httpClient.send(this->adminCall(daemonIndex, "/v1/status"));
         auto json = status ? parseJsonObject(status.value().body) : std::nullopt;
         return json && (*json)["inForceRevision"].asUInt64() >= revision;
     };
-    if (!this->http.waitUntil(isInForce, Site::waitLimit))
+    if (!this->httpClient.waitUntil(isInForce, Site::waitLimit))
         throw std::runtime_error("document has not come into force in time; see the logs in " + this->folder.string());
 }
 
 std::uint64_t Site::submitDocument(std::size_t daemonIndex)
 {
-    auto status = this->http.send(this->adminCall(daemonIndex, "/v1/status"));
+    auto status = this->httpClient.send(this->adminCall(daemonIndex, "/v1/status"));
     auto known = status ? parseJsonObject(status.value().body) : std::nullopt;
     Json::Value submission;
     submission["changeId"] = fmt::format("change-{}-{}", getpid(), ++this->changes);
@@ -220,11 +220,11 @@
     call.body = toJsonText(submission);
     std::string last;
     auto isAccepted = [&] {
-        auto outcome = this->http.send(call);
+        auto outcome = this->httpClient.send(call);
         last = outcome ? std::to_string(outcome.value().status) + " " + outcome.value().body : outcome.error().detail;
         return outcome && outcome.value().status == 200;
     };
-    if (!this->http.waitUntil(isAccepted, Site::waitLimit))
+    if (!this->httpClient.waitUntil(isAccepted, Site::waitLimit))
         throw std::runtime_error("document has not been accepted in time; last answer: " + last);
     return parseJsonObject(last.substr(last.find(' ') + 1)).value()["revision"].asUInt64();
 }
@@ -256,8 +256,8 @@
     auto keyFile = this->file("operator.key");
     std::ofstream(keyFile) << SiteSettings::operatorKey << "\n";
     std::vector<std::string> words { "greengagectl", "--key-file", keyFile };
-    for (const auto& place : this->siteLayout.daemons())
-        words.insert(words.end(), { "--daemon", fmt::format("{}:{}", place.address, this->siteLayout.adminPort()) });
+    for (const auto& location : this->siteLayout.daemons())
+        words.insert(words.end(), { "--daemon", fmt::format("{}:{}", location.address, this->siteLayout.adminPort()) });
     words.insert(words.end(), command.begin(), command.end());
     auto process = this->start("operator", words);
     return process->wait(Site::waitLimit).value_or(-1);
@@ -291,7 +291,7 @@
 bool Site::waitForWave(const std::string& wave, Milliseconds limit)
 {
     auto isDone = [&] {
-        auto answer = this->http.send(this->adminCall(0, "/v1/status"));
+        auto answer = this->httpClient.send(this->adminCall(0, "/v1/status"));
         auto status = answer ? parseJsonObject(answer.value().body) : std::nullopt;
         if (!status)
             return false;
@@ -301,22 +301,23 @@
         }
         return false;
     };
-    return this->http.waitUntil(isDone, limit);
+    return this->httpClient.waitUntil(isDone, limit);
 }
 
 void Site::controlStore(const Json::Value& settings)
 {
-    this->http.post(SiteLayout::storeAddress(), this->siteLayout.storeControlPort(), "/control", settings);
+    this->httpClient.post(SiteLayout::storeAddress(), this->siteLayout.storeControlPort(), "/control", settings);
 }
 
 void Site::controlEndpoints(const Json::Value& settings)
 {
-    this->http.post(SiteLayout::storeAddress(), this->siteLayout.minionControlPort(), "/control", settings);
+    this->httpClient.post(SiteLayout::storeAddress(), this->siteLayout.minionControlPort(), "/control", settings);
 }
 
 int Site::sumOverEndpoints(const std::string& name)
 {
-    auto state = this->http.get(SiteLayout::storeAddress(), this->siteLayout.minionControlPort(), "/control/state");
+    auto state
+        = this->httpClient.get(SiteLayout::storeAddress(), this->siteLayout.minionControlPort(), "/control/state");
     int sum = 0;
     for (const auto& endpoint : state["endpoints"])
         sum += endpoint[name].asInt();
@@ -325,7 +326,7 @@
 
 void Site::controlRelay(const Json::Value& settings)
 {
-    this->http.post(SiteLayout::storeAddress(), this->siteLayout.relayControlPort(), "/control", settings);
+    this->httpClient.post(SiteLayout::storeAddress(), this->siteLayout.relayControlPort(), "/control", settings);
 }
 
 std::string Site::completeLoad(const std::string& load) const
@@ -366,7 +367,7 @@
         return std::all_of(
             this->callers.begin(), this->callers.end(), [](const auto& caller) { return caller->exitStatus() == 0; });
     };
-    return this->http.waitUntil(allEnded, limit);
+    return this->httpClient.waitUntil(allEnded, limit);
 }
 
 bool Site::stopDaemons(Milliseconds limit)
@@ -377,7 +378,7 @@
         return std::all_of(
             this->daemons.begin(), this->daemons.end(), [](const auto& daemon) { return daemon->exitStatus() == 0; });
     };
-    return this->http.waitUntil(allEnded, limit);
+    return this->httpClient.waitUntil(allEnded, limit);
 }
 
 History Site::history() const
--- a/tests/site/Site.h
+++ b/tests/site/Site.h
@@ -33,7 +33,7 @@
 
     const SiteLayout& layout() const { return this->siteLayout; }
     SiteDocument& document() { return this->operatorsDocument; }
-    BlockingHttpClient& tool() { return this->http; }
+    BlockingHttpClient& http() { return this->httpClient; }
     std::string file(const std::string& name) const { return (this->folder / name).string(); }
 
     /// Starts the store, the endpoints and, if planned, the relay, waits until they answer, and publishes the VM list.
@@ -109,7 +109,7 @@
     SiteDocument operatorsDocument;
     std::filesystem::path folder;
     std::unique_ptr<HistoryFile> operatorHistory;
-    BlockingHttpClient http;
+    BlockingHttpClient httpClient;
     std::map<std::string, std::string> vmStates;
     std::map<std::string, int> recordedLimits;
     std::set<std::string> recordedWithdrawals;
--- a/tests/site/SiteLayout.cpp
+++ b/tests/site/SiteLayout.cpp
@@ -20,7 +20,7 @@
     for (int zone : plan.daemonZones) {
         int host = ++countOfZone[zone];
         auto name = "daemon-" + std::to_string(zone) + "-" + std::to_string(host);
-        this->daemonPlaces.push_back({ name, SiteLayout::daemonPrefix(zone) + std::to_string(host), zone });
+        this->daemonLocations.push_back({ name, SiteLayout::daemonPrefix(zone) + std::to_string(host), zone });
     }
 }
 
@@ -32,7 +32,7 @@
             int zone = index % plan.zones + 1;
             int host = ++countOfZone[zone];
             auto rack = "rack-" + std::to_string(zone) + "-" + std::to_string(host / endpointsPerRack);
-            this->endpointPlaces.push_back({ service.service + "-" + std::to_string(index + 1), service.service,
+            this->endpointLocations.push_back({ service.service + "-" + std::to_string(index + 1), service.service,
                 SiteLayout::endpointPrefix(zone) + std::to_string(host), rack, zone });
         }
     }
@@ -41,8 +41,8 @@
 std::map<std::string, std::vector<std::string>> SiteLayout::vmsByService() const
 {
     std::map<std::string, std::vector<std::string>> vms;
-    for (const auto& place : this->endpointPlaces)
-        vms[place.service].push_back(place.vm);
+    for (const auto& location : this->endpointLocations)
+        vms[location.service].push_back(location.vm);
     return vms;
 }
 
--- a/tests/site/SiteLayout.h
+++ b/tests/site/SiteLayout.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include <tests/site/DaemonPlace.h>
-#include <tests/site/EndpointPlace.h>
+#include <tests/site/DaemonLocation.h>
+#include <tests/site/EndpointLocation.h>
 #include <tests/site/PortBlock.h>
 #include <tests/site/SitePlan.h>
 
@@ -35,8 +35,8 @@
     std::uint16_t relayedEndpointPort() const { return this->ports.port(9); }
     std::uint16_t relayedStorePort() const { return this->ports.port(10); }
 
-    const std::vector<DaemonPlace>& daemons() const { return this->daemonPlaces; }
-    const std::vector<EndpointPlace>& endpoints() const { return this->endpointPlaces; }
+    const std::vector<DaemonLocation>& daemons() const { return this->daemonLocations; }
+    const std::vector<EndpointLocation>& endpoints() const { return this->endpointLocations; }
 
     /// The VM ids of each service.
     std::map<std::string, std::vector<std::string>> vmsByService() const;
@@ -46,8 +46,8 @@
     void placeEndpoints(const SitePlan&);
 
     PortBlock ports;
-    std::vector<DaemonPlace> daemonPlaces;
-    std::vector<EndpointPlace> endpointPlaces;
+    std::vector<DaemonLocation> daemonLocations;
+    std::vector<EndpointLocation> endpointLocations;
 };
 
 } // namespace Greengage
--- a/tests/standins/caller/CallerProcess.cpp
+++ b/tests/standins/caller/CallerProcess.cpp
@@ -23,10 +23,10 @@
 constexpr Milliseconds completionCheckInterval { 20 };
 constexpr std::array<int, 6> finalStatuses { 400, 401, 404, 405, 409, 413 };
 
-SeenOutcome toSeenOutcome(const HttpResponse& answer)
+ObservedOutcome toObservedOutcome(const HttpResponse& answer)
 {
-    auto outcome = enumFromName<SeenOutcome>(answer.header("Greengage-Outcome"));
-    return outcome.value_or(SeenOutcome::Broken);
+    auto outcome = enumFromName<ObservedOutcome>(answer.header("Greengage-Outcome"));
+    return outcome.value_or(ObservedOutcome::Broken);
 }
 
 Milliseconds retryPauseOf(const HttpResponse* answer)
@@ -158,20 +158,21 @@
     const SubmissionPointer& submission, const std::string& body, const Result<HttpResponse, HttpFailure>& outcome)
 {
     if (outcome) {
-        auto seen = toSeenOutcome(outcome.value());
-        this->recordAnswer(*submission, seen, body, &outcome.value());
-        this->retryOrEnd(submission, seen, &outcome.value());
+        auto observed = toObservedOutcome(outcome.value());
+        this->recordAnswer(*submission, observed, body, &outcome.value());
+        this->retryOrEnd(submission, observed, &outcome.value());
         return;
     }
-    auto seen = outcome.error().mayHaveBeenSent ? SeenOutcome::Broken : SeenOutcome::NotSent;
-    this->recordAnswer(*submission, seen, body, nullptr);
-    this->retryOrEnd(submission, seen, nullptr);
+    auto observed = outcome.error().mayHaveBeenSent ? ObservedOutcome::Broken : ObservedOutcome::NotSent;
+    this->recordAnswer(*submission, observed, body, nullptr);
+    this->retryOrEnd(submission, observed, nullptr);
 }
 
-void CallerProcess::retryOrEnd(const SubmissionPointer& submission, SeenOutcome seen, const HttpResponse* answer)
+void CallerProcess::retryOrEnd(
+    const SubmissionPointer& submission, ObservedOutcome observed, const HttpResponse* answer)
 {
-    bool isFinal = seen == SeenOutcome::Answered;
-    if (seen == SeenOutcome::NotRun && answer)
+    bool isFinal = observed == ObservedOutcome::Answered;
+    if (observed == ObservedOutcome::NotRun && answer)
         isFinal = std::find(finalStatuses.begin(), finalStatuses.end(), answer->status) != finalStatuses.end();
     auto pause = retryPauseOf(answer);
     auto next = BootClock::now() + pause;
@@ -198,12 +199,12 @@
 }
 
 void CallerProcess::recordAnswer(
-    const Submission& submission, SeenOutcome seen, const std::string& body, const HttpResponse* answer)
+    const Submission& submission, ObservedOutcome observed, const std::string& body, const HttpResponse* answer)
 {
-    bool whole = seen != SeenOutcome::Answered || answer->body == WorkOrder::answerFor(body);
+    bool whole = observed != ObservedOutcome::Answered || answer->body == WorkOrder::answerFor(body);
     this->history.append(LogLine("answer")
                              .add("call", submission.name + "." + std::to_string(submission.attempts))
-                             .add("outcome", nameOf(seen))
+                             .add("outcome", nameOf(observed))
                              .add("reason", answer ? answer->header("Greengage-Reason") : "")
                              .add("request", answer ? answer->header("Greengage-Request") : "")
                              .add("status", answer ? answer->status : 0)
--- a/tests/standins/caller/CallerProcess.h
+++ b/tests/standins/caller/CallerProcess.h
@@ -35,9 +35,9 @@
     HttpRequest makeCall(const Submission&, const std::string& body) const;
     void chooseDaemon(Submission&);
     void handleOutcome(const SubmissionPointer&, const std::string& body, const Result<HttpResponse, HttpFailure>&);
-    void retryOrEnd(const SubmissionPointer&, SeenOutcome, const HttpResponse*);
+    void retryOrEnd(const SubmissionPointer&, ObservedOutcome, const HttpResponse*);
     void recordInvoke(const Submission&);
-    void recordAnswer(const Submission&, SeenOutcome, const std::string& body, const HttpResponse*);
+    void recordAnswer(const Submission&, ObservedOutcome, const std::string& body, const HttpResponse*);
     void stopIfDone();
 
     Loop& loop;
--- a/tests/standins/common/HttpReplies.cpp
+++ b/tests/standins/common/HttpReplies.cpp
@@ -66,7 +66,7 @@
     }
 }
 
-void closeSilently(Loop& loop, evhttp_request* request)
+void closeWithoutAnswer(Loop& loop, evhttp_request* request)
 {
     auto* connection = evhttp_request_get_connection(request);
     loop.callLater(Microseconds::zero(), [connection] { evhttp_connection_free(connection); });
@@ -80,7 +80,7 @@
     auto bytes = head + body.substr(0, sentBytes);
     auto* stream = evhttp_connection_get_bufferevent(evhttp_request_get_connection(request));
     send(bufferevent_getfd(stream), bytes.data(), bytes.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
-    closeSilently(loop, request);
+    closeWithoutAnswer(loop, request);
 }
 
 } // namespace Greengage::HttpReplies
--- a/tests/standins/common/HttpReplies.h
+++ b/tests/standins/common/HttpReplies.h
@@ -28,7 +28,7 @@
 void applySettings(evhttp_request*, const std::function<void(const Json::Value&)>& apply);
 
 /// Schedules the closing of the request's connection, without an answer. The request must not be used afterwards.
-void closeSilently(Loop&, evhttp_request*);
+void closeWithoutAnswer(Loop&, evhttp_request*);
 
 /// Sends a header with the full Content-Length but only the first `sentBytes` bytes of the body, then closes the
 /// connection.
--- a/tests/standins/minion/Endpoint.cpp
+++ b/tests/standins/minion/Endpoint.cpp
@@ -41,7 +41,7 @@
 {
     auto* connection = evhttp_request_get_connection(request);
     if (!this->admitConnection(connection)) {
-        HttpReplies::closeSilently(this->loop, request);
+        HttpReplies::closeWithoutAnswer(this->loop, request);
         return;
     }
     if (this->unresponsiveConnections.contains(connection))
--- a/tests/standins/store/StoreService.cpp
+++ b/tests/standins/store/StoreService.cpp
@@ -81,7 +81,7 @@
     auto kind = path.starts_with(pathPrefix) ? path.substr(pathPrefix.size()) : path;
     ++this->callCounts[kind];
     if (this->faults.outage == StoreOutage::Refuse) {
-        HttpReplies::closeSilently(this->loop, request);
+        HttpReplies::closeWithoutAnswer(this->loop, request);
         return;
     }
     if (this->faults.outage == StoreOutage::Unresponsive || this->faults.blocks(HttpReplies::peerAddress(request))) {
@@ -166,7 +166,7 @@
     }
     if (this->faults.writeAnswersToLose > 0) {
         --this->faults.writeAnswersToLose;
-        HttpReplies::closeSilently(this->loop, request);
+        HttpReplies::closeWithoutAnswer(this->loop, request);
     } else
         this->reply(request, answer);
     this->answerWatches();
@@ -285,7 +285,7 @@
         if (this->faults.blocks(HttpReplies::peerAddress(request)))
             stillUnanswered.insert(request);
         else
-            HttpReplies::closeSilently(this->loop, request);
+            HttpReplies::closeWithoutAnswer(this->loop, request);
     }
     this->unansweredRequests = std::move(stillUnanswered);
 }
--- a/tests/standins/tests/CallerTests.cpp
+++ b/tests/standins/tests/CallerTests.cpp
@@ -119,7 +119,7 @@
 {
     this->behave = [this](evhttp_request* request) {
         if (HttpReplies::body(request).find(".1 ") != std::string::npos)
-            HttpReplies::closeSilently(this->loop, request);
+            HttpReplies::closeWithoutAnswer(this->loop, request);
         else
             this->answer(request, "not_run", 409, "{}");
     };
--- a/tests/support/HttpTalk.cpp
+++ b/tests/support/RawHttpRequest.cpp
@@ -1,4 +1,4 @@
-#include <support/HttpTalk.h>
+#include <support/RawHttpRequest.h>
 
 #include <arpa/inet.h>
 #include <cstdlib>
@@ -40,10 +40,10 @@
 
 } // namespace
 
-HttpTalkReply talkHttp(const std::string& address, std::uint16_t port, const std::string& method,
+HttpReply sendHttpRequest(const std::string& address, std::uint16_t port, const std::string& method,
     const std::string& path, const std::vector<std::string>& headers, const std::string& body)
 {
-    HttpTalkReply reply;
+    HttpReply reply;
     int socket = connectTo(address, port);
     if (socket < 0)
         return reply;
--- a/tests/support/HttpTalk.h
+++ b/tests/support/RawHttpRequest.h
@@ -7,7 +7,7 @@
 namespace Greengage {
 
 /// An HTTP response as received by a test.
-struct HttpTalkReply {
+struct HttpReply {
     /// Whether a connection was established; if not, nothing was sent.
     bool connected = false;
     /// 0 if no complete response arrived.
@@ -20,7 +20,7 @@
 
 /// Sends one HTTP request on a new connection and blocks until the response is complete or 60 seconds pass without
 /// data. `headers` are header lines without line ends.
-HttpTalkReply talkHttp(const std::string& address, std::uint16_t port, const std::string& method,
+HttpReply sendHttpRequest(const std::string& address, std::uint16_t port, const std::string& method,
     const std::string& path, const std::vector<std::string>& headers = {}, const std::string& body = {});
 
 } // namespace Greengage
